--- a/include/spanplank/change_log.h
+++ b/include/spanplank/change_log.h
@@ -1,5 +1,5 @@
-/// The newest changes of the store that a router has passed on, for followers that missed some: one that
-/// changed whom it follows, or whose own way to the store is cut.
+/// Keeps the newest store changes that a router has forwarded, for followers that missed some because they
+/// changed their parent or lost their own connection to the store.
 #ifndef SPANPLANK_CHANGE_LOG_H_HEADER_GUARD
 #define SPANPLANK_CHANGE_LOG_H_HEADER_GUARD
 
@@ -12,37 +12,37 @@
 
 namespace spanplank
 {
-/// Changes of the store, passed on as they were read.
+/// A batch of store changes, forwarded in the order in which they were read.
 struct StoreChanges
 {
-	uint64_t from = 0; ///< Whoever knows everything up to this revision ...
-	uint64_t to = 0;   ///< ... knows everything up to this one afterwards.
+	uint64_t from = 0; ///< The batch applies to a router that has all changes up to this revision.
+	uint64_t to = 0;   ///< Revision up to which that router has all changes afterwards.
 	std::vector<StoreItem> items;
 };
 
-/// Changes without a gap between them, oldest first.
+/// Contiguous batches of changes, oldest first.
 struct ChangeLog
 {
 	std::deque<StoreChanges> changes;
-	size_t bytes = 0; ///< Of all keys and values.
+	size_t bytes = 0; ///< Size of all keys and values.
 };
 
-/// Takes the newest changes. Ones that do not follow on the last begin the log anew.
-void noteChanges(ChangeLog& _log, const StoreChanges& _changes);
+/// Appends a batch. A batch that is not contiguous with the last one replaces the log.
+void recordChanges(ChangeLog& _log, const StoreChanges& _changes);
 
-/// Forgets all: what happened between two lists of the store is not known.
+/// Clears the log. Needed after a new list of the store, as changes between two lists are unknown.
 void clearChanges(ChangeLog& _log);
 
-/// @returns All that changed after a revision; if that is not known, nothing, with `from` the newest
-/// revision.
-/// @param[in] _known Up to which the router that asks knows everything. @param[in] _newest The same of this
-/// one.
-StoreChanges changesSince(const ChangeLog& _log, uint64_t _known, uint64_t _newest);
+/// @returns All changes after a revision; an empty batch from `_newestRevision` if the log does not reach
+/// back to that revision.
+/// @param[in] _knownRevision Revision up to which the requesting router has all changes.
+/// @param[in] _newestRevision Revision up to which this router has all changes.
+StoreChanges changesSince(const ChangeLog& _log, uint64_t _knownRevision, uint64_t _newestRevision);
 
-/// Most bytes kept. A change of a large configuration is some 50 kB; the changes of the last seconds are what
-/// followers miss.
-constexpr size_t kMostLogBytes = 512u << 10;
-constexpr size_t kMostLogChanges = 256;
+/// Limits of the log. A change of a large configuration is about 50 kB; followers usually miss the changes of
+/// the last seconds.
+constexpr size_t kMaxLogBytes = 512u << 10;
+constexpr size_t kMaxLogChanges = 256;
 } // namespace spanplank
 
 #endif // SPANPLANK_CHANGE_LOG_H_HEADER_GUARD
--- a/include/spanplank/config_replica.h
+++ b/include/spanplank/config_replica.h
@@ -1,4 +1,4 @@
-/// The operators' configuration as one process holds it: applies only what is newer, never reverts.
+/// A process's copy of the operators' configuration. Applies only newer resources and never reverts.
 #ifndef SPANPLANK_CONFIG_REPLICA_H_HEADER_GUARD
 #define SPANPLANK_CONFIG_REPLICA_H_HEADER_GUARD
 
@@ -12,20 +12,20 @@
 
 namespace spanplank
 {
-/// Names a resource: kind, then name.
+/// Kind and name of a resource.
 using ResourceKey = std::pair<std::string, std::string>;
 
-/// Changes to apply, with the revision that they complete.
+/// Changes between two revisions of the configuration.
 struct ConfigUpdate
 {
-	uint64_t revision = 0; ///< Every change up to here is known to the sender.
-	uint64_t base = 0;     ///< `changes` holds all that came after this revision.
+	uint64_t revision = 0; ///< The sender has all changes up to this revision.
+	uint64_t base = 0;     ///< `changes` holds all changes after this revision.
 	std::vector<Resource> changes;
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(ConfigUpdate, revision, base, changes)
 
-/// A withdrawn or halted version generation. A set of these only grows.
+/// A withdrawn or halted generation of a version. Halts are never revoked.
 struct Halt
 {
 	std::string version;
@@ -35,10 +35,11 @@
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(Halt, version, generation, reason)
 
+/// The resources, and look-up tables of them.
 struct ConfigReplica
 {
 	uint64_t revision = 0;
-	std::map<ResourceKey, Resource> resources; ///< Deleted ones stay, as marks.
+	std::map<ResourceKey, Resource> resources; ///< Includes deleted ones, as tombstones.
 
 	std::map<std::string, ClientAccount, std::less<>> accounts;
 	std::map<std::string, std::string, std::less<>> accountByKeyHash;
@@ -47,37 +48,37 @@
 	std::map<std::string, Cascade, std::less<>> cascades;
 	std::map<std::string, Rollout, std::less<>> rollouts;
 	std::map<std::string, Service, std::less<>> services;
-	std::map<std::string, uint32_t, std::less<>> haltedGeneration; ///< Highest halted generation by version.
+	std::map<std::string, uint32_t, std::less<>> haltedGeneration; ///< Highest halted generation, by version.
 };
 
+/// Result of `apply`.
 enum class ApplyResult : uint8_t
 {
 	Applied,
-	Known, ///< Nothing in it was newer.
-	Gap,   ///< It starts after what is held: ask for a full update.
+	Unchanged, ///< The update contained nothing newer.
+	Gap,       ///< The update starts after the replica's revision: a full update is needed.
 };
 
-/// Applies an update. A resource moves only to a higher revision.
+/// Applies an update. Resources with a lower or equal revision are skipped.
 ApplyResult apply(ConfigReplica& _replica, const ConfigUpdate& _update);
 
-/// Obeys a halt, before or after the store has heard of it.
-/// @returns Whether it was news.
+/// Applies a halt, which need not be in the store yet. @returns Whether it was new.
 bool applyHalt(ConfigReplica& _replica, const Halt& _halt);
 
-/// @returns All that is newer than a revision, as an update; `_since` 0 gives a full one.
+/// @returns All changes after a revision; a full update for `_since` 0.
 ConfigUpdate updateSince(const ConfigReplica& _replica, uint64_t _since);
 
-/// @returns Whether a version may get work: known, neither withdrawn nor halted; a retiring one only for a
-/// session that began on it.
+/// @returns Whether a version may serve a request: it is known and neither withdrawn nor halted. A retiring
+/// one serves only sessions that began on it (`_session`).
 bool mayServe(const ConfigReplica& _replica, std::string_view _version, bool _session);
 
-/// @returns Whether the account may use the version, by its own name or its model's.
+/// @returns Whether the account's list contains the version or its model.
 bool allowsVersion(const ConfigReplica& _replica, std::string_view _account, std::string_view _version);
 
-/// @returns Whether the account's list names a service, model, version or cascade.
+/// @returns Whether the account's list contains a service, model, version or cascade.
 bool allowsName(const ConfigReplica& _replica, std::string_view _account, std::string_view _name);
 
-/// @returns The roll-out of a candidate version, or null.
+/// @returns The roll-out whose candidate is the version, or null.
 const Rollout* rolloutOf(const ConfigReplica& _replica, std::string_view _version);
 } // namespace spanplank
 
--- a/include/spanplank/daemons.h
+++ b/include/spanplank/daemons.h
@@ -1,4 +1,4 @@
-/// The processes, as functions: the programs under tools/ only read the command line.
+/// Entry points of the processes. The programs under tools/ only parse the command line.
 #ifndef SPANPLANK_DAEMONS_H_HEADER_GUARD
 #define SPANPLANK_DAEMONS_H_HEADER_GUARD
 
@@ -6,19 +6,20 @@
 
 namespace spanplank
 {
-/// Runs a router until SIGTERM. @param[in] _settingsFile YAML. @returns The exit code.
+/// Runs a router until SIGTERM. @param[in] _settingsFile Path of a YAML file. @returns The exit code.
 /// @throws SettingsFailure
 int runRouter(const std::string& _settingsFile);
 
 /// Runs a router that calls the upstreams itself, until SIGTERM.
-/// @param[in] _settingsFile YAML with `upstreams: direct`. @returns The exit code. @throws SettingsFailure
+/// @param[in] _settingsFile Path of a YAML file with `upstreams: direct`. @returns The exit code.
+/// @throws SettingsFailure
 int runDirectRouter(const std::string& _settingsFile);
 
-/// Runs an agent until SIGTERM. @param[in] _settingsFile YAML. @returns The exit code.
+/// Runs an agent until SIGTERM. @param[in] _settingsFile Path of a YAML file. @returns The exit code.
 /// @throws SettingsFailure
 int runAgent(const std::string& _settingsFile);
 
-/// Checks a settings file without running. @throws SettingsFailure
+/// Checks a settings file without running the process. @throws SettingsFailure
 void checkRouterSettings(const std::string& _settingsFile);
 void checkAgentSettings(const std::string& _settingsFile);
 } // namespace spanplank
--- a/include/spanplank/peer_follow.h
+++ b/include/spanplank/peer_follow.h
@@ -1,8 +1,9 @@
-/// When a router leaves the one that it follows, and when it looks for one outside its rank.
+/// Decides when a router stops following its parent, and when it searches for a parent regardless of rank.
 ///
-/// The load it answers: a part of the fleet is cut off the store, among it routers that others follow.
-/// Routers that reach the store leave a parent that proves nothing; routers that don't look for a parent that
-/// does, also among those that rank after them, so that they go on serving with proofs from the others.
+/// Handles a partition in which a part of the fleet, including routers that others follow, can't reach the
+/// store. Routers that reach the store leave a parent whose confirmations are stale. Routers that can't reach
+/// it search for a parent that can, also among lower-ranked routers, so that they keep serving with the
+/// confirmations of others.
 #ifndef SPANPLANK_PEER_FOLLOW_H_HEADER_GUARD
 #define SPANPLANK_PEER_FOLLOW_H_HEADER_GUARD
 
@@ -14,74 +15,79 @@
 
 namespace spanplank
 {
-/// Short name of a router between routers: a hash of its box.
+/// Identifies a router in messages between routers: a hash of the name of its box.
 using PeerKey = uint32_t;
 
-/// @returns The key of a box.
+/// @returns The key of the router on a box.
 PeerKey peerKeyOf(std::string_view _box);
 
-/// What a router knows of the one that it follows, and of its own way to the store.
+/// State of a router's parent, and of its own connection to the store.
 struct FollowState
 {
-	bool hasParent = false;     ///< One was chosen.
-	TimeUs parentSince = 0;     ///< When it was chosen.
-	TimeUs answeredAt = 0;      ///< When it answered last; 0: it has not.
-	TimeUs followedAt = 0;      ///< When it answered first.
-	TimeUs provenAt = 0;        ///< When its proof was young last; 0: it has not been.
-	bool ring = false;          ///< It follows this router, by whatever way.
-	uint32_t asked = 0;         ///< Own calls that reached the store in a row, while it proved nothing.
-	uint32_t storeFailures = 0; ///< Own calls that failed in a row.
-	TimeUs storeFailedAt = 0;   ///< When one failed last; 0: none has.
-	bool detached = false;      ///< Cut off the store: this router ranks itself last.
-	TimeUs probeAt = 0;         ///< When a detached router calls the store though its parent proves.
-	TimeUs searchAt = 0;        ///< No search for another parent before.
-	uint32_t searches = 0;      ///< In a row; each doubles the pause before the next.
-	std::vector<PeerKey> chain; ///< The parent, whom that follows, and so on.
+	bool hasParent = false;        ///< A parent is chosen.
+	TimeUs parentSince = 0;        ///< When the current choice was made.
+	TimeUs answeredAt = 0;         ///< Last answer of the parent; 0: none yet.
+	TimeUs firstAnswerAt = 0;      ///< First answer of the parent.
+	TimeUs confirmedAt = 0;        ///< Last answer with a recent enough confirmation; 0: none yet.
+	bool inCycle = false;          ///< The parent follows this router, directly or through others.
+	uint32_t unconfirmedCalls = 0; ///< Successful own store calls since the last recent confirmation.
+	uint32_t storeFailures = 0;    ///< Failed own store calls in a row.
+	TimeUs storeFailedAt = 0;      ///< Last failed own store call; 0: none yet.
+	bool detached = false;         ///< This router can't reach the store and ranks itself last.
+	TimeUs probeAt = 0;            ///< When a detached router next calls the store itself.
+	TimeUs nextSearchAt = 0;       ///< Earliest next search for another parent.
+	uint32_t searches = 0;         ///< Searches in a row; each doubles the pause before the next.
+	std::vector<PeerKey> chain;    ///< The parent, the parent's parent, and so on.
 };
 
-/// What to do about the parent.
-enum class FollowMove : uint8_t
+/// What to do with the current parent.
+enum class FollowAction : uint8_t
 {
-	Keep,        ///< Or the one that the ranks now say.
-	LeaveSilent, ///< It does not answer.
-	LeaveRing,   ///< It follows this router, which reaches the store.
-	LeaveCutOff, ///< It proves nothing, though this router reaches the store.
-	Search,      ///< Neither it nor this router reaches the store: any other may.
+	Keep,              ///< Keep it, or switch to the one that the ranking now yields.
+	LeaveUnresponsive, ///< Leave it: it does not answer.
+	LeaveCycle,        ///< Leave it: it follows this router, which reaches the store.
+	LeaveStale,        ///< Leave it: its confirmations are stale although this router reaches the store.
+	Search, ///< Search for any router that reaches the store: neither the parent nor this one does.
 };
 
 /// @returns A name for logs.
-const char* name(FollowMove _move);
+const char* name(FollowAction _action);
 
-/// @returns What to do now.
-FollowMove nextFollowMove(const FollowState& _state, TimeUs _now);
+/// @returns The action that is due at `_now`.
+FollowAction nextFollowAction(const FollowState& _state, TimeUs _now);
 
-/// A parent was chosen, or none.
-void noteParent(FollowState& _state, bool _has, TimeUs _now);
+/// Records that a parent was chosen, or that there is none, and resets the state of the previous one.
+void recordParent(FollowState& _state, bool _hasParent, TimeUs _now);
 
-/// The parent answered. @param[in] _proofAge Of what it proves. @param[in] _chain It, and whom it follows.
-void noteParentAnswer(FollowState& _state, TimeUs _proofAge, absl::Span<const PeerKey> _chain, PeerKey _self,
-					  TimeUs _now);
+/// Records an answer of the parent.
+/// @param[in] _confirmationAge Time since the moment for which the store confirmed the configuration, us.
+/// @param[in] _chain The parent, the parent's parent, and so on.
+void recordParentAnswer(FollowState& _state, TimeUs _confirmationAge, absl::Span<const PeerKey> _chain,
+						PeerKey _self, TimeUs _now);
 
-/// An own call of the store ended. @param[in] _sentAt One from before the parent's first answer says nothing
-/// of it.
-void noteStoreReached(FollowState& _state, TimeUs _sentAt);
-void noteStoreFailed(FollowState& _state, TimeUs _now);
+/// Records a successful own store call.
+/// @param[in] _sentAt When it was sent; calls sent before the parent's first answer are not held against it.
+void recordStoreReached(FollowState& _state, TimeUs _sentAt);
 
-/// @returns Whether a router that ranks itself last is to learn whether it reaches the store again.
-bool wantsProbe(const FollowState& _state, TimeUs _now);
+/// Records a failed own store call.
+void recordStoreFailed(FollowState& _state, TimeUs _now);
 
-/// A search begins: this router ranks itself last until it reaches the store.
-void noteSearch(FollowState& _state, TimeUs _now);
+/// @returns Whether a detached router must call the store to find out whether it is reachable again.
+bool isProbeDue(const FollowState& _state, TimeUs _now);
 
-/// @returns The oldest proof that is good enough, before this router asks the store itself.
-TimeUs oldestProof(const FollowState& _state);
+/// Records the start of a search: this router ranks itself last until it reaches the store.
+void recordSearch(FollowState& _state, TimeUs _now);
 
-/// Oldest proof next to the first of all, and further down: a change must be in force within 2 s where bounds
-/// are tightest, and those next to it ask for all while the others still wait.
-constexpr TimeUs kOldestProof = 1200 * kMsToUs;
-constexpr TimeUs kOldestProofBelow = 1700 * kMsToUs;
-/// Longest chain that is told; a ring is seen long before.
-constexpr size_t kMostChain = 16;
+/// @returns The age of the parent's confirmation, us, from which this router calls the store itself.
+TimeUs maxConfirmationAge(const FollowState& _state);
+
+/// Maximum ages of a confirmation for the followers of the root, and for all further levels. Both are below
+/// the 2 s within which a change must be in force where bounds are tightest. The level below the root has the
+/// lower one: it calls the store on behalf of all levels while these still wait.
+constexpr TimeUs kMaxConfirmationAgeLevel1Us = 1200 * kMsToUs;
+constexpr TimeUs kMaxConfirmationAgeBelowUs = 1700 * kMsToUs;
+/// Maximum number of routers in a chain; a cycle is detected long before.
+constexpr size_t kMaxChainLength = 16;
 } // namespace spanplank
 
 #endif // SPANPLANK_PEER_FOLLOW_H_HEADER_GUARD
--- a/include/spanplank/peer_messages.h
+++ b/include/spanplank/peer_messages.h
@@ -1,4 +1,4 @@
-/// Messages between routers that follow each other. On the wire: CBOR arrays, so that no names travel.
+/// Messages between a router and its parent. They are CBOR arrays on the wire, without field names.
 #ifndef SPANPLANK_PEER_MESSAGES_H_HEADER_GUARD
 #define SPANPLANK_PEER_MESSAGES_H_HEADER_GUARD
 
@@ -19,64 +19,66 @@
 
 namespace spanplank
 {
-/// A router to the one that it follows.
+/// Sent periodically by a router to its parent.
 struct PeerPing
 {
-	uint64_t seq = 0;                  ///< Rises with each ping of a link.
-	std::vector<LoadChange> loads;     ///< Of its subtree, changed since the last ping over this link.
-	std::vector<NewHome> homes;        ///< Learned since the last ping, but from the receiver.
-	std::vector<TrialHalt> halts;      ///< Not in the store yet.
-	std::vector<TrialNews> trials;     ///< Of the trials that run.
-	std::vector<SuspectNews> suspects; ///< Changed since the last ping over this link.
-	std::vector<UsageRow> usage;       ///< Of its subtree, changed since the last telling.
+	uint64_t seq = 0;                  ///< Increases with each ping of a link.
+	std::vector<LoadChange> loads;     ///< Loads in the sender's subtree that changed since the last ping.
+	std::vector<NewHome> homes;        ///< Homes learned since the last ping, except from the receiver.
+	std::vector<TrialHalt> halts;      ///< Halts that are not in the store yet.
+	std::vector<TrialNews> trials;     ///< Evidence of the running trials.
+	std::vector<SuspectNews> suspects; ///< Suspects that changed since the last ping over this link.
+	std::vector<UsageRow> usage;       ///< Usage in the sender's subtree that changed since it was last sent.
 };
 
-/// The answer to a ping.
+/// Answers a `PeerPing`.
 struct PeerPong
 {
-	uint64_t seq = 0;              ///< Of the ping.
-	uint64_t revision = 0;         ///< Of the store, up to which the sender knows everything.
-	TimeUs proofAge = 0;           ///< Since the moment for which the store proved that, when this was sent.
-	std::vector<LoadChange> loads; ///< Of all routers outside the receiver's subtree, changed since the last.
-	std::vector<NewHome> homes;    ///< Learned since the last answer, but from the receiver.
-	bool stopping = false;         ///< The sender ends soon: another one is to be followed.
-	std::vector<TrialHalt> halts;  ///< Not in the store yet.
-	std::vector<PeerKey> chain;    ///< The sender, whom it follows, and so on; a ring shows in it.
-	std::vector<TrialNews> trials; ///< Of the trials that run.
-	std::vector<SuspectNews> suspects; ///< Changed since the last answer over this link.
-	TimeUs wall = 0;                   ///< The sender's time of day.
+	uint64_t seq = 0;      ///< Sequence number of the ping.
+	uint64_t revision = 0; ///< Store revision up to which the sender has all changes.
+	/// Time, at sending, since the moment for which the store confirmed that revision, us.
+	TimeUs confirmationAge = 0;
+	/// Loads of routers outside the receiver's subtree that changed since the last answer.
+	std::vector<LoadChange> loads;
+	std::vector<NewHome> homes;        ///< Homes learned since the last answer, except from the receiver.
+	bool stopping = false;             ///< The sender shuts down: the receiver must choose another parent.
+	std::vector<TrialHalt> halts;      ///< Halts that are not in the store yet.
+	std::vector<PeerKey> chain;        ///< The sender, its parent, and so on; used to detect cycles.
+	std::vector<TrialNews> trials;     ///< Evidence of the running trials.
+	std::vector<SuspectNews> suspects; ///< Suspects that changed since the last answer over this link.
+	TimeUs wall = 0;                   ///< The sender's time of day, us since 1970.
 };
 
-/// A follower that missed changes of the store asks the router that it follows for them.
-struct StoreAsk
+/// Requests the store changes that the sender missed, from its parent.
+struct StoreChangesRequest
 {
-	uint64_t known = 0; ///< The revision up to which it knows everything.
+	uint64_t knownRevision = 0; ///< Revision up to which the sender has all changes.
 };
 
-/// The whole store, passed on by a router that had to list it anew.
+/// The complete contents of the store, forwarded by a router that had to list it again.
 struct StoreSnapshot
 {
 	uint64_t revision = 0;
 	std::vector<StoreItem> items;
 };
 
-/// A follower asks the router that it follows to keep its registration in the store, with its own and those
-/// of others, under one lease.
-struct PeerRegister
+/// Requests that the parent keeps the sender's registration in the store, together with its own and those of
+/// its other followers, under one lease.
+struct PeerRegistrationRequest
 {
 	std::string box;
-	std::string value; ///< As the store is to hold it.
+	std::string value; ///< The registration as it is written to the store.
 };
 
-/// Lists travel flat, as numbers alone: their elements are many and small.
-constexpr size_t kNumbersOfLoad = 3;
-constexpr size_t kNumbersOfHome = 2;
-constexpr size_t kNumbersOfEvidence = 23;
+/// Lists of many small elements are encoded as flat arrays of numbers. These are the numbers per element.
+constexpr size_t kNumbersPerLoad = 3;
+constexpr size_t kNumbersPerHome = 2;
+constexpr size_t kNumbersPerEvidenceRow = 23;
 
 inline nlohmann::json encodeLoads(const std::vector<LoadChange>& _loads)
 {
 	nlohmann::json::array_t numbers;
-	numbers.reserve(_loads.size() * kNumbersOfLoad);
+	numbers.reserve(_loads.size() * kNumbersPerLoad);
 	for (const LoadChange& change : _loads)
 	{
 		numbers.emplace_back(change.upstream);
@@ -89,7 +91,7 @@
 inline nlohmann::json encodeHomes(const std::vector<NewHome>& _homes)
 {
 	nlohmann::json::array_t numbers;
-	numbers.reserve(_homes.size() * kNumbersOfHome);
+	numbers.reserve(_homes.size() * kNumbersPerHome);
 	for (const NewHome& home : _homes)
 	{
 		numbers.emplace_back(home.upstream);
@@ -98,7 +100,7 @@
 	return numbers;
 }
 
-/// A router of an earlier version tells no loads, or in a form of its own: then there are none.
+/// Decodes the list at an index. Routers of earlier versions send none, or another format; it is empty then.
 inline void decodeLoads(const nlohmann::json& _json, size_t _at, std::vector<LoadChange>& _loads)
 {
 	if (_json.size() <= _at || !_json.at(_at).is_array())
@@ -106,7 +108,7 @@
 		return;
 	}
 	const nlohmann::json& numbers = _json.at(_at);
-	for (size_t ii = 0; ii + kNumbersOfLoad <= numbers.size(); ii += kNumbersOfLoad)
+	for (size_t ii = 0; ii + kNumbersPerLoad <= numbers.size(); ii += kNumbersPerLoad)
 	{
 		const LoadCount load{numbers.at(ii + 1).get<int32_t>(), numbers.at(ii + 2).get<int32_t>()};
 		_loads.push_back({numbers.at(ii).get<UpstreamKey>(), load});
@@ -121,7 +123,7 @@
 		return;
 	}
 	const nlohmann::json& numbers = _json.at(_at);
-	for (size_t ii = 0; ii + kNumbersOfHome <= numbers.size(); ii += kNumbersOfHome)
+	for (size_t ii = 0; ii + kNumbersPerHome <= numbers.size(); ii += kNumbersPerHome)
 	{
 		_homes.push_back({numbers.at(ii + 1).get<uint64_t>(), numbers.at(ii).get<UpstreamKey>()});
 	}
@@ -150,7 +152,7 @@
 inline nlohmann::json encodeEvidence(const std::vector<EvidenceRow>& _rows)
 {
 	nlohmann::json::array_t numbers;
-	numbers.reserve(_rows.size() * kNumbersOfEvidence);
+	numbers.reserve(_rows.size() * kNumbersPerEvidenceRow);
 	for (const EvidenceRow& row : _rows)
 	{
 		const EvidenceCounts& counts = row.counts;
@@ -182,7 +184,7 @@
 inline std::vector<EvidenceRow> decodeEvidence(const nlohmann::json& _numbers)
 {
 	std::vector<EvidenceRow> rows;
-	for (size_t from = 0; from + kNumbersOfEvidence <= _numbers.size(); from += kNumbersOfEvidence)
+	for (size_t from = 0; from + kNumbersPerEvidenceRow <= _numbers.size(); from += kNumbersPerEvidenceRow)
 	{
 		size_t at = from;
 		EvidenceRow row;
@@ -291,7 +293,7 @@
 {
 	_json = {_pong.seq,
 			 _pong.revision,
-			 _pong.proofAge,
+			 _pong.confirmationAge,
 			 encodeLoads(_pong.loads),
 			 encodeHomes(_pong.homes),
 			 _pong.stopping,
@@ -308,7 +310,7 @@
 	constexpr size_t kChainAt = 6;
 	_json.at(0).get_to(_pong.seq);
 	_json.at(1).get_to(_pong.revision);
-	_json.at(2).get_to(_pong.proofAge);
+	_json.at(2).get_to(_pong.confirmationAge);
 	decodeLoads(_json, 3, _pong.loads);
 	decodeHomes(_json, 4, _pong.homes);
 	_pong.stopping = _json.size() > kStoppingAt && _json.at(kStoppingAt).get<bool>();
@@ -325,7 +327,7 @@
 
 inline void to_json(nlohmann::json& _json, const StoreItem& _item)
 {
-	_json = {_item.key, _item.value, _item.revision, _item.deleted, _item.garbled};
+	_json = {_item.key, _item.value, _item.revision, _item.deleted, _item.malformed};
 }
 
 inline void from_json(const nlohmann::json& _json, StoreItem& _item)
@@ -334,29 +336,29 @@
 	_json.at(1).get_to(_item.value);
 	_json.at(2).get_to(_item.revision);
 	_json.at(3).get_to(_item.deleted);
-	constexpr size_t kGarbledAt = 4; // A router of an earlier version tells none.
-	_item.garbled = _json.size() > kGarbledAt && _json.at(kGarbledAt).get<bool>();
+	constexpr size_t kMalformedAt = 4; // Routers of earlier versions do not send it.
+	_item.malformed = _json.size() > kMalformedAt && _json.at(kMalformedAt).get<bool>();
 }
 
-inline void to_json(nlohmann::json& _json, const PeerRegister& _register)
+inline void to_json(nlohmann::json& _json, const PeerRegistrationRequest& _registration)
 {
-	_json = {_register.box, _register.value};
+	_json = {_registration.box, _registration.value};
 }
 
-inline void from_json(const nlohmann::json& _json, PeerRegister& _register)
+inline void from_json(const nlohmann::json& _json, PeerRegistrationRequest& _registration)
 {
-	_json.at(0).get_to(_register.box);
-	_json.at(1).get_to(_register.value);
+	_json.at(0).get_to(_registration.box);
+	_json.at(1).get_to(_registration.value);
 }
 
-inline void to_json(nlohmann::json& _json, const StoreAsk& _ask)
+inline void to_json(nlohmann::json& _json, const StoreChangesRequest& _request)
 {
-	_json = nlohmann::json::array({_ask.known});
+	_json = nlohmann::json::array({_request.knownRevision});
 }
 
-inline void from_json(const nlohmann::json& _json, StoreAsk& _ask)
+inline void from_json(const nlohmann::json& _json, StoreChangesRequest& _request)
 {
-	_json.at(0).get_to(_ask.known);
+	_json.at(0).get_to(_request.knownRevision);
 }
 
 inline void to_json(nlohmann::json& _json, const StoreSnapshot& _snapshot)
--- a/include/spanplank/peer_tree.h
+++ b/include/spanplank/peer_tree.h
@@ -1,12 +1,13 @@
-/// Routers that share what they learn: which one a router follows, so that few of them watch the store.
+/// Builds the tree along which routers share state, so that few of them watch the store.
 ///
-/// Each router ranks all routers, the same everywhere: the larger boxes first, a hash of the name between
-/// equal ones. Within a hall the first takes as followers as many of the next ones as its box bears, the
-/// second those after them, and so on; the firsts of the halls follow each other in the same way; the first
-/// of all follows nobody and watches the store. A router follows only routers that rank before it, whatever
-/// it believes of the others, so that no two follow each other; but for those that are cut off the store,
-/// which rank themselves last. A router that can't follow watches the store itself: a wrong view costs calls,
-/// never correctness. When one leaves its parent is in `peer_follow.h`.
+/// Each router ranks all routers, in the same order everywhere: larger boxes first, boxes of equal size by a
+/// hash of their names. Within a hall the first router takes as many of the next ones as followers as its box
+/// has capacity for, the second takes those after them, and so on. The first routers of the halls follow each
+/// other in the same way. The root, which ranks before all others, follows none and watches the store. A
+/// router follows only higher-ranked routers, whatever state it assumes of the others, so that no cycles
+/// form; the exception is routers that can't reach the store, which rank themselves last. A router without a
+/// parent watches the store itself: a wrong view costs calls, never correctness. `peer_follow.h` decides when
+/// a router leaves its parent.
 #ifndef SPANPLANK_PEER_TREE_H_HEADER_GUARD
 #define SPANPLANK_PEER_TREE_H_HEADER_GUARD
 
@@ -21,63 +22,65 @@
 
 namespace spanplank
 {
-/// What a box gives its router.
+/// Resources of a box that its router may use.
 struct BoxCapacity
 {
-	double cores = 0.0;    ///< Processor time, as a share of a core; 0: unknown, the smallest.
-	double linkMbps = 0.0; ///< Rate of its network link; 0: unknown, the smallest.
+	double cores = 0.0; ///< Processor time in cores, may be a fraction; 0: unknown, treated as the smallest.
+	double linkMbps = 0.0; ///< Rate of the network link, Mbit/s; 0: unknown, treated as the smallest.
 };
 
-/// What a router registers of itself for the others.
+/// Registration of a router, for the other routers.
 struct PeerRecord
 {
-	std::string box; ///< Stable over restarts.
+	std::string box; ///< Name of the box, stable over restarts.
 	std::string hall;
-	std::string address; ///< ip:port where it listens for links.
+	std::string address; ///< ip:port on which it listens for links.
 	BoxCapacity capacity;
 };
 
+/// Another router, and whether it may be followed.
 struct PeerEntry
 {
 	PeerRecord record;
-	TimeUs avoidUntil = 0; ///< It could not be followed.
-	uint32_t failures = 0; ///< In a row; each doubles the time for which it is avoided.
+	TimeUs avoidUntil = 0; ///< Following it failed: it is not chosen as parent until then.
+	uint32_t failures = 0; ///< Failures in a row; each doubles the time for which it is avoided.
 };
 
+/// This router and all others that are registered.
 struct PeerTree
 {
 	PeerRecord self;
-	std::map<std::string, PeerEntry> peers; ///< By box, without this router.
-	bool selfLast = false; ///< This router ranks itself last: it looks for anyone that reaches the store.
+	std::map<std::string, PeerEntry> peers; ///< All other routers, by box.
+	bool selfRanksLast = false;             ///< This router may follow any router that reaches the store.
 };
 
-/// A router registered, or changed its record. A record of this router itself is left out.
+/// Adds or updates a router. Ignores the record of this router itself.
 void registerPeer(PeerTree& _tree, const PeerRecord& _record);
 
-/// A router's registration went.
+/// Removes a router whose registration is gone.
 void unregisterPeer(PeerTree& _tree, const std::string& _box);
 
-/// Drops all routers but the listed ones, by box.
-void keepPeers(PeerTree& _tree, const std::set<std::string>& _boxes);
+/// Removes all routers except those on the given boxes.
+void retainPeers(PeerTree& _tree, const std::set<std::string>& _boxes);
 
-/// @returns The most routers that may follow one on such a box.
-uint32_t mostFollowers(const BoxCapacity& _capacity);
+/// @returns The maximum number of routers that may follow one on a box of this capacity.
+uint32_t maxFollowers(const BoxCapacity& _capacity);
 
-/// @returns The box to follow; empty: none, this router watches the store.
+/// @returns The box of the router to follow; empty if there is none, so that this router watches the store.
 std::string chooseParent(const PeerTree& _tree, TimeUs _now);
 
-/// @returns How many of the known routers rank before this one, whether they can be followed or not.
-size_t routersBefore(const PeerTree& _tree);
+/// @returns The number of routers that rank before this one, including those that are avoided.
+size_t countHigherRanked(const PeerTree& _tree);
 
-/// A router could not be followed: it is left out for a while.
+/// Excludes a router from the choice of the parent for a while, as following it failed.
 void avoidPeer(PeerTree& _tree, const std::string& _box, TimeUs _now);
 
-/// A router is followed: what was held against it is forgotten.
-void noteFollowed(PeerTree& _tree, const std::string& _box);
+/// Resets the failures of a router that is now followed.
+void recordFollowed(PeerTree& _tree, const std::string& _box);
 
-/// How long a router that could not be followed is left out at first; each further time doubles it.
-constexpr TimeUs kAvoidPeer = 2000 * kMsToUs;
-constexpr uint32_t kMostAvoidDoublings = 4;
+/// How long a router is avoided after the first failure; each further failure in a row doubles it.
+constexpr TimeUs kAvoidPeerUs = 2000 * kMsToUs;
+constexpr uint32_t kMaxAvoidDoublings = 4;
 } // namespace spanplank
 
 #endif // SPANPLANK_PEER_TREE_H_HEADER_GUARD
--- a/include/spanplank/record_fault.h
+++ b/include/spanplank/record_fault.h
@@ -1,5 +1,5 @@
-/// Why a record in the store can't be used: other programs write there too, by mistake or in another version.
-/// Such a record names nobody, and harms no other.
+/// Reasons why a record in the store is invalid. Other programs write to the store too, by mistake or in
+/// another version of the format. An invalid record is ignored and does not affect other records.
 #ifndef SPANPLANK_RECORD_FAULT_H_HEADER_GUARD
 #define SPANPLANK_RECORD_FAULT_H_HEADER_GUARD
 
@@ -10,23 +10,24 @@
 
 namespace spanplank
 {
+/// What is wrong with a record.
 enum class RecordFault : uint8_t
 {
-	Encoding, ///< Its bytes are not what the store holds values as.
-	Syntax,   ///< No object, or no text that can be read.
-	Missing,  ///< A field is missing.
-	Type,     ///< A field has another type.
-	Range,    ///< A number that none of these can be.
-	State,    ///< A state that is not known.
-	Address,  ///< No address that can be connected to.
-	Name,     ///< An id that can't be sent on.
+	Encoding, ///< The value is not in the encoding of the store.
+	Syntax,   ///< The value can't be parsed or is not an object.
+	Missing,  ///< A field is missing or empty.
+	Type,     ///< A field has the wrong type.
+	Range,    ///< A number or a length is out of range.
+	State,    ///< The state is unknown.
+	Address,  ///< The address is not a valid ip:port.
+	Name,     ///< The id can't be sent in a header.
 	Count,
 };
 
 /// @returns A name for logs and counters.
 const char* name(RecordFault _fault);
 
-/// A record that can't be used.
+/// Thrown for an invalid record.
 class RecordFailure : public Failure
 {
 public:
--- a/include/spanplank/region_limit.h
+++ b/include/spanplank/region_limit.h
@@ -1,4 +1,4 @@
-/// Where a request may be served: routes and client accounts can be limited to regions.
+/// Restricts the halls that may serve a request: routes and client accounts can be limited to regions.
 #ifndef SPANPLANK_REGION_LIMIT_H_HEADER_GUARD
 #define SPANPLANK_REGION_LIMIT_H_HEADER_GUARD
 
@@ -9,21 +9,23 @@
 
 namespace spanplank
 {
-/// Region of each hall. A hall that is not here is in no region that a limit could name.
+/// Region of each hall. A hall without an entry is in no region.
 using RegionOfHall = std::map<std::string, std::string>;
 
 /// The halls in which a request may be served.
 struct HallLimit
 {
-	bool limited = false; ///< Else any hall may.
+	bool limited = false; ///< If false, all halls may serve the request.
 	std::set<std::string> halls;
 };
 
-/// @param[in] _route Regions that the route names; empty: any. @param[in] _account The same of the account.
+/// @returns The halls that both the route and the account allow.
+/// @param[in] _route Regions that the route allows; empty: all.
+/// @param[in] _account Regions that the account allows; empty: all.
 HallLimit limitHalls(const RegionOfHall& _regions, const std::vector<std::string>& _route,
 					 const std::vector<std::string>& _account);
 
-/// @returns Whether a hall is within the limit.
+/// @returns Whether a hall may serve the request.
 bool isAllowed(const HallLimit& _limit, const std::string& _hall);
 } // namespace spanplank
 
--- a/include/spanplank/store_item.h
+++ b/include/spanplank/store_item.h
@@ -1,4 +1,4 @@
-/// One item of the platform's key-value store.
+/// An item of the platform's key-value store.
 #ifndef SPANPLANK_STORE_ITEM_H_HEADER_GUARD
 #define SPANPLANK_STORE_ITEM_H_HEADER_GUARD
 
@@ -11,9 +11,9 @@
 {
 	std::string key;
 	std::string value;
-	uint64_t revision = 0; ///< Store revision of its latest change; 0: absent.
+	uint64_t revision = 0; ///< Store revision of the latest change; 0: the item does not exist.
 	bool deleted = false;
-	bool garbled = false; ///< Its value could not be read, and is empty here.
+	bool malformed = false; ///< The value could not be decoded; `value` is empty.
 };
 } // namespace spanplank
 
--- a/include/spanplank/store_position.h
+++ b/include/spanplank/store_position.h
@@ -1,7 +1,7 @@
-/// A place in the store's history as one number: the era first, then the revision. A store that comes back
-/// from an older copy begins an era, in which revisions that it had given out are given out again. As all
-/// that is read from the store carries positions, whatever compares two of them takes the later era for the
-/// newer one.
+/// A position in the store's history: era and revision in one number. A store that is restored from an older
+/// backup begins a new era, in which it assigns revisions again that it had assigned before. As everything
+/// that is read from the store carries positions instead of revisions, a comparison takes the later era for
+/// the newer.
 #ifndef SPANPLANK_STORE_POSITION_H_HEADER_GUARD
 #define SPANPLANK_STORE_POSITION_H_HEADER_GUARD
 
@@ -9,24 +9,24 @@
 
 namespace spanplank
 {
-/// Revisions of an era. A power of ten: era and revision can be read off a position in logs.
-constexpr uint64_t kRevisionsOfEra = 1000000000000;
-constexpr uint64_t kMostEra = 1000000; ///< A higher one is not believed.
+/// Maximum number of revisions of an era. A power of ten, so that era and revision are readable in logs.
+constexpr uint64_t kRevisionsPerEra = 1000000000000;
+constexpr uint64_t kMaxEra = 1000000; ///< Higher eras are rejected.
 
-/// @param[in] _revision 0: absent, whatever the era.
+/// @returns The position of a revision; 0 (the item does not exist) for revision 0 of any era.
 constexpr uint64_t positionOf(uint64_t _era, uint64_t _revision)
 {
-	return _revision == 0 ? 0 : _era * kRevisionsOfEra + _revision;
+	return _revision == 0 ? 0 : _era * kRevisionsPerEra + _revision;
 }
 
 constexpr uint64_t eraOf(uint64_t _position)
 {
-	return _position / kRevisionsOfEra;
+	return _position / kRevisionsPerEra;
 }
 
 constexpr uint64_t revisionOf(uint64_t _position)
 {
-	return _position % kRevisionsOfEra;
+	return _position % kRevisionsPerEra;
 }
 } // namespace spanplank
 
--- a/include/spanplank/timeline.h
+++ b/include/spanplank/timeline.h
@@ -1,4 +1,4 @@
-/// A bounded ring of events in hybrid logical time, so that the events of all processes can be merged.
+/// A bounded queue of events with hybrid logical timestamps, by which events of all processes can be merged.
 #ifndef SPANPLANK_TIMELINE_H_HEADER_GUARD
 #define SPANPLANK_TIMELINE_H_HEADER_GUARD
 
@@ -12,29 +12,30 @@
 
 namespace spanplank
 {
-/// Hybrid logical clock: wall microseconds, but never behind anything heard of.
+/// Hybrid logical clock: wall time, us, but never behind a timestamp that was issued or received before.
 struct HybridClock
 {
 	TimeUs last = 0;
 };
 
-/// @returns The time of a local event.
+/// @returns The timestamp of a local event.
 TimeUs stamp(HybridClock& _clock, TimeUs _wallNow);
 
-/// Takes in the time that another process sent.
-void hear(HybridClock& _clock, TimeUs _remote);
+/// Advances the clock to a timestamp that was received from another process.
+void receiveTimestamp(HybridClock& _clock, TimeUs _remote);
 
 struct TimelineEvent
 {
 	TimeUs at = 0;       ///< Hybrid time, microseconds since 1970.
-	std::string process; ///< Box of the process.
+	std::string process; ///< Name of the box of the process.
 	std::string event;   ///< Kind of event, for example `halted`.
-	std::string subject; ///< Request id, resource or box that it is about.
+	std::string subject; ///< Request id, resource or box that the event is about.
 	std::string detail;
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(TimelineEvent, at, process, event, subject, detail)
 
+/// The newest events of a process.
 struct Timeline
 {
 	std::string process;
@@ -44,13 +45,14 @@
 	uint64_t dropped = 0;
 };
 
+/// Appends an event. Drops and counts the oldest one if the timeline is full.
 void recordEvent(Timeline& _timeline, TimeUs _wallNow, std::string _event, std::string _subject,
 				 std::string _detail);
 
-/// @returns Events about a subject, or all if it is empty.
+/// @returns The events about a subject; all events if it is empty.
 std::vector<TimelineEvent> eventsAbout(const Timeline& _timeline, const std::string& _subject);
 
-/// Sorts the events of several processes into one line; ties go by process name.
+/// Sorts the events of several processes by time, events of equal time by process name.
 void mergeEvents(std::vector<TimelineEvent>& _events);
 } // namespace spanplank
 
--- a/include/spanplank/wall_clock.h
+++ b/include/spanplank/wall_clock.h
@@ -1,4 +1,4 @@
-/// Time of day that goes on evenly while the box's own clock jumps by seconds.
+/// Time of day that stays continuous when the clock of the box jumps by seconds.
 #ifndef SPANPLANK_WALL_CLOCK_H_HEADER_GUARD
 #define SPANPLANK_WALL_CLOCK_H_HEADER_GUARD
 
@@ -6,24 +6,28 @@
 
 namespace spanplank
 {
+/// Time of day, as an offset to the monotonic clock.
 struct WallClock
 {
-	TimeUs offset = 0; ///< From the monotonic clock to the time since 1970; 0: not known yet.
-	bool compared = false;
+	TimeUs offset = 0;             ///< Time since 1970 minus the monotonic clock, us; 0: unknown.
+	bool comparedWithPeer = false; ///< It was compared with the clock of a parent.
 };
 
-/// The box's clock is corrected by less than this between two looks; by more it has jumped.
-constexpr TimeUs kMostWallDrift = 100 * kMsToUs;
-/// From here on this router's time of day is wrong, not the way between two routers slow.
-constexpr TimeUs kWrongWall = 500 * kMsToUs;
+/// Maximum correction of the clock of the box between two reads; a larger difference is a jump.
+constexpr TimeUs kMaxWallDriftUs = 100 * kMsToUs;
+/// Maximum difference to a parent's time of day that may be due to the delay between two routers; a larger
+/// one means that this router's time is wrong.
+constexpr TimeUs kMaxWallErrorUs = 500 * kMsToUs;
 
-/// Looks at the box's clock. @returns The time of day. @param[in] _box What the box's clock says.
+/// Follows the clock of the box unless it has jumped.
+/// @param[in] _box Clock of the box, us since 1970. @returns The time of day, us since 1970.
 TimeUs wallTime(WallClock& _clock, TimeUs _box, TimeUs _now);
 
-/// Compares this router's time of day with that of the first router that it follows, once: the box's clock
-/// may have been wrong as the process started.
-/// @param[in] _wall The other one's time of day. @returns Whether it was taken over.
-bool compareWall(WallClock& _clock, TimeUs _wall, TimeUs _now);
+/// Compares this router's time of day once, with its first parent's: the clock of the box may have been wrong
+/// when the process started.
+/// @param[in] _wall The parent's time of day, us since 1970; 0: unknown.
+/// @returns Whether the parent's time was adopted.
+bool syncWallClock(WallClock& _clock, TimeUs _wall, TimeUs _now);
 } // namespace spanplank
 
 #endif // SPANPLANK_WALL_CLOCK_H_HEADER_GUARD
--- a/src/adapters/agent_daemon.cpp
+++ b/src/adapters/agent_daemon.cpp
@@ -206,7 +206,7 @@
 
 void onPeerHeartbeat(Agent& _agent, LinkId _from, const Heartbeat& _heartbeat)
 {
-	hear(_agent.node.timeline.clock, _heartbeat.hybridTime);
+	receiveTimestamp(_agent.node.timeline.clock, _heartbeat.hybridTime);
 	if (_heartbeat.revision > _agent.core.config.revision)
 	{
 		_agent.node.hub->send(_from, MessageType::ConfigAsk, ConfigAsk{_agent.core.config.revision});
--- a/src/adapters/router_daemon.cpp
+++ b/src/adapters/router_daemon.cpp
@@ -119,7 +119,7 @@
 
 void onPeerHeartbeat(Router& _router, LinkId _from, UpstreamId _upstream, const Heartbeat& _heartbeat)
 {
-	hear(_router.node.timeline.clock, _heartbeat.hybridTime);
+	receiveTimestamp(_router.node.timeline.clock, _heartbeat.hybridTime);
 	onHeartbeat(_router.core, _upstream, _heartbeat);
 	LinkHub& hub = *_router.node.hub;
 	if (_heartbeat.revision > _router.core.config.revision)
@@ -425,7 +425,7 @@
 	sleepFor(_router.settings.common.balancerMs);
 	http.draining = true;
 	stopListening(http);
-	_router.answerBy = until - kAnswerTime;
+	_router.answerBy = until - kAnswerReserveUs;
 	// From the first byte on: a request that is still being read would be cut without an answer.
 	pollUntil(until, [&] { return http.busy == 0; });
 	closeIdle(http);
--- a/src/adapters/store_client.cpp
+++ b/src/adapters/store_client.cpp
@@ -38,7 +38,7 @@
 	{
 		return;
 	}
-	const bool read = absl::SimpleAtoi(text, &era) && era <= kMostEra;
+	const bool read = absl::SimpleAtoi(text, &era) && era <= kMaxEra;
 	if (read && era >= _client.era)
 	{
 		_client.era = era;
--- a/src/core/change_log.cpp
+++ b/src/core/change_log.cpp
@@ -1,4 +1,4 @@
-/// Keeping and telling the newest changes of the store.
+/// Appends batches of store changes to the log and reads them back.
 #include "spanplank/change_log.h"
 
 namespace spanplank
@@ -16,7 +16,7 @@
 }
 } // namespace
 
-void noteChanges(ChangeLog& _log, const StoreChanges& _changes)
+void recordChanges(ChangeLog& _log, const StoreChanges& _changes)
 {
 	if (!_log.changes.empty() && _log.changes.back().to != _changes.from)
 	{
@@ -24,7 +24,7 @@
 	}
 	_log.changes.push_back(_changes);
 	_log.bytes += sizeOf(_changes);
-	while (_log.changes.size() > kMostLogChanges || (_log.bytes > kMostLogBytes && !_log.changes.empty()))
+	while (_log.changes.size() > kMaxLogChanges || (_log.bytes > kMaxLogBytes && !_log.changes.empty()))
 	{
 		_log.bytes -= sizeOf(_log.changes.front());
 		_log.changes.pop_front();
@@ -36,20 +36,20 @@
 	_log = {};
 }
 
-StoreChanges changesSince(const ChangeLog& _log, uint64_t _known, uint64_t _newest)
+StoreChanges changesSince(const ChangeLog& _log, uint64_t _knownRevision, uint64_t _newestRevision)
 {
-	const bool covered =
-		!_log.changes.empty() && _log.changes.front().from <= _known && _log.changes.back().to == _newest;
+	const bool covered = !_log.changes.empty() && _log.changes.front().from <= _knownRevision &&
+						 _log.changes.back().to == _newestRevision;
 	if (!covered)
 	{
-		return {_newest, _newest, {}};
+		return {_newestRevision, _newestRevision, {}};
 	}
-	StoreChanges since{_known, _newest, {}};
+	StoreChanges since{_knownRevision, _newestRevision, {}};
 	for (const StoreChanges& changes : _log.changes)
 	{
 		for (const StoreItem& item : changes.items)
 		{
-			if (item.revision > _known)
+			if (item.revision > _knownRevision)
 			{
 				since.items.push_back(item);
 			}
--- a/src/core/config_replica.cpp
+++ b/src/core/config_replica.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 template <typename Spec>
-void place(std::map<std::string, Spec, std::less<>>& _map, const Resource& _resource)
+void applySpec(std::map<std::string, Spec, std::less<>>& _map, const Resource& _resource)
 {
 	if (_resource.deleted)
 	{
@@ -17,7 +17,7 @@
 	_map[_resource.name] = _resource.spec.get<Spec>();
 }
 
-void placeAccount(ConfigReplica& _replica, const Resource& _resource)
+void applyAccount(ConfigReplica& _replica, const Resource& _resource)
 {
 	const auto old = _replica.accounts.find(_resource.name);
 	if (old != _replica.accounts.end())
@@ -31,52 +31,52 @@
 			}
 		}
 	}
-	place(_replica.accounts, _resource);
-	const auto placed = _replica.accounts.find(_resource.name);
-	if (placed != _replica.accounts.end())
+	applySpec(_replica.accounts, _resource);
+	const auto applied = _replica.accounts.find(_resource.name);
+	if (applied != _replica.accounts.end())
 	{
-		for (const std::string& hash : placed->second.keyHashes)
+		for (const std::string& hash : applied->second.keyHashes)
 		{
 			_replica.accountByKeyHash[hash] = _resource.name;
 		}
 	}
 }
 
-void placeVersion(ConfigReplica& _replica, const Resource& _resource)
+void applyVersion(ConfigReplica& _replica, const Resource& _resource)
 {
-	place(_replica.versions, _resource);
-	const auto placed = _replica.versions.find(_resource.name);
-	if (placed != _replica.versions.end() && placed->second.state == VersionState::Withdrawn)
+	applySpec(_replica.versions, _resource);
+	const auto applied = _replica.versions.find(_resource.name);
+	if (applied != _replica.versions.end() && applied->second.state == VersionState::Withdrawn)
 	{
-		applyHalt(_replica, {_resource.name, placed->second.generation, "withdrawn"});
+		applyHalt(_replica, {_resource.name, applied->second.generation, "withdrawn"});
 	}
 }
 
-void placeResource(ConfigReplica& _replica, const Resource& _resource)
+void applyResource(ConfigReplica& _replica, const Resource& _resource)
 {
 	if (_resource.kind == kKindAccount)
 	{
-		placeAccount(_replica, _resource);
+		applyAccount(_replica, _resource);
 	}
 	else if (_resource.kind == kKindModel)
 	{
-		place(_replica.models, _resource);
+		applySpec(_replica.models, _resource);
 	}
 	else if (_resource.kind == kKindVersion)
 	{
-		placeVersion(_replica, _resource);
+		applyVersion(_replica, _resource);
 	}
 	else if (_resource.kind == kKindCascade)
 	{
-		place(_replica.cascades, _resource);
+		applySpec(_replica.cascades, _resource);
 	}
 	else if (_resource.kind == kKindRollout)
 	{
-		place(_replica.rollouts, _resource);
+		applySpec(_replica.rollouts, _resource);
 	}
 	else if (_resource.kind == kKindService)
 	{
-		place(_replica.services, _resource);
+		applySpec(_replica.services, _resource);
 	}
 }
 } // namespace
@@ -87,24 +87,24 @@
 	{
 		return ApplyResult::Gap;
 	}
-	bool news = false;
+	bool changed = false;
 	for (const Resource& change : _update.changes)
 	{
-		Resource& held = _replica.resources[{change.kind, change.name}];
-		if (change.revision <= held.revision)
+		Resource& stored = _replica.resources[{change.kind, change.name}];
+		if (change.revision <= stored.revision)
 		{
 			continue;
 		}
-		held = change;
-		placeResource(_replica, held);
-		news = true;
+		stored = change;
+		applyResource(_replica, stored);
+		changed = true;
 	}
 	if (_update.revision > _replica.revision)
 	{
 		_replica.revision = _update.revision;
-		news = true;
+		changed = true;
 	}
-	return news ? ApplyResult::Applied : ApplyResult::Known;
+	return changed ? ApplyResult::Applied : ApplyResult::Unchanged;
 }
 
 bool applyHalt(ConfigReplica& _replica, const Halt& _halt)
--- a/src/core/peer_tree.cpp
+++ b/src/core/peer_tree.cpp
@@ -16,10 +16,10 @@
 /// Followers for each Mbit/s of the link. One takes 25 kB/s of loads and homes (`bench/peer_pings.cpp`): a
 /// fifth.
 constexpr double kFollowersPerMbps = 1.0;
-constexpr double kLeastFollowers = 2.0; ///< With fewer the levels are as many as the routers.
-constexpr double kMostFollowers = 64.0; ///< Links of one process.
+constexpr double kMinFollowers = 2.0;  ///< With fewer the levels are as many as the routers.
+constexpr double kMaxFollowers = 64.0; ///< Links of one process.
 /// Of its followers, the part that the first of a hall keeps for the firsts of other halls.
-constexpr double kOtherHallsPart = 0.5;
+constexpr double kOtherHallsShare = 0.5;
 
 /// Routers by rank, the first first.
 using RankedPeers = std::vector<const PeerRecord*>;
@@ -28,7 +28,7 @@
 /// fleet's tops are not all in one place.
 uint32_t sizeClass(const PeerRecord& _record)
 {
-	uint32_t followers = mostFollowers(_record.capacity);
+	uint32_t followers = maxFollowers(_record.capacity);
 	uint32_t size = 0;
 	while (followers >>= 1)
 	{
@@ -62,13 +62,13 @@
 /// How many routers of its hall may follow one, by its place there.
 size_t followersInHall(const PeerRecord& _record, size_t _place)
 {
-	const uint32_t most = mostFollowers(_record.capacity);
-	return _place == 0 ? size_t(std::max(1.0, most * (1.0 - kOtherHallsPart))) : most;
+	const uint32_t most = maxFollowers(_record.capacity);
+	return _place == 0 ? size_t(std::max(1.0, most * (1.0 - kOtherHallsShare))) : most;
 }
 
 size_t followersAcrossHalls(const PeerRecord& _record, size_t)
 {
-	return size_t(std::max(1.0, mostFollowers(_record.capacity) * kOtherHallsPart));
+	return size_t(std::max(1.0, maxFollowers(_record.capacity) * kOtherHallsShare));
 }
 
 /// @returns The router that takes the one at a place as its follower; null: the first follows none.
@@ -102,7 +102,7 @@
 	std::sort(ranks.begin(), ranks.end(), ranksBefore);
 	const PeerRank self = rankOf(_tree.self);
 	const auto own =
-		_tree.selfLast ? ranks.end() : std::lower_bound(ranks.begin(), ranks.end(), self, ranksBefore);
+		_tree.selfRanksLast ? ranks.end() : std::lower_bound(ranks.begin(), ranks.end(), self, ranksBefore);
 	ranks.insert(own, self);
 	RankedPeers ranked;
 	for (const PeerRank& rank : ranks)
@@ -132,7 +132,7 @@
 	_tree.peers.erase(_box);
 }
 
-void keepPeers(PeerTree& _tree, const std::set<std::string>& _boxes)
+void retainPeers(PeerTree& _tree, const std::set<std::string>& _boxes)
 {
 	for (auto at = _tree.peers.begin(); at != _tree.peers.end();)
 	{
@@ -140,17 +140,17 @@
 	}
 }
 
-uint32_t mostFollowers(const BoxCapacity& _capacity)
+uint32_t maxFollowers(const BoxCapacity& _capacity)
 {
-	const double byCores = _capacity.cores * kFollowersPerCore;
-	const double byLink = _capacity.linkMbps * kFollowersPerMbps;
-	return uint32_t(std::clamp(std::min(byCores, byLink), kLeastFollowers, kMostFollowers));
+	const double coreLimit = _capacity.cores * kFollowersPerCore;
+	const double linkLimit = _capacity.linkMbps * kFollowersPerMbps;
+	return uint32_t(std::clamp(std::min(coreLimit, linkLimit), kMinFollowers, kMaxFollowers));
 }
 
 std::string chooseParent(const PeerTree& _tree, TimeUs _now)
 {
 	RankedPeers hall;
-	RankedPeers firsts;
+	RankedPeers hallFirsts;
 	std::set<std::string_view> halls;
 	for (const PeerRecord* record : rankPeers(_tree, _now))
 	{
@@ -160,16 +160,16 @@
 		}
 		if (halls.insert(record->hall).second)
 		{
-			firsts.push_back(record);
+			hallFirsts.push_back(record);
 		}
 	}
 	const bool isFirst = hall.front() == &_tree.self;
-	const PeerRecord* parent = isFirst ? parentOf(firsts, &_tree.self, followersAcrossHalls)
+	const PeerRecord* parent = isFirst ? parentOf(hallFirsts, &_tree.self, followersAcrossHalls)
 									   : parentOf(hall, &_tree.self, followersInHall);
 	return parent == nullptr ? "" : parent->box;
 }
 
-size_t routersBefore(const PeerTree& _tree)
+size_t countHigherRanked(const PeerTree& _tree)
 {
 	const PeerRank self = rankOf(_tree.self);
 	return size_t(std::count_if(_tree.peers.begin(), _tree.peers.end(), [&self](const auto& _peer) {
@@ -185,11 +185,11 @@
 		return;
 	}
 	PeerEntry& entry = found->second;
-	entry.avoidUntil = _now + (kAvoidPeer << std::min(entry.failures, kMostAvoidDoublings));
+	entry.avoidUntil = _now + (kAvoidPeerUs << std::min(entry.failures, kMaxAvoidDoublings));
 	++entry.failures;
 }
 
-void noteFollowed(PeerTree& _tree, const std::string& _box)
+void recordFollowed(PeerTree& _tree, const std::string& _box)
 {
 	const auto found = _tree.peers.find(_box);
 	if (found != _tree.peers.end())
--- a/src/core/planned_stop.cpp
+++ b/src/core/planned_stop.cpp
@@ -12,25 +12,25 @@
 constexpr uint32_t kRestartMs = 1200;
 constexpr uint32_t kReturnSpreadMs = 600; ///< Refused callers do not come back all at once.
 
-bool balancerKnows(const PlannedStop& _stop, TimeUs _at)
+bool hasBalancerDetected(const PlannedStop& _stop, TimeUs _at)
 {
-	return _stop.since != 0 && _at - _stop.since >= kBalancerMs * kMsToUs;
+	return _stop.since != 0 && _at - _stop.since >= kBalancerDetectionMs * kMsToUs;
 }
 } // namespace
 
-bool takesRequest(const PlannedStop& _stop, TimeUs _deadline, TimeUs _now)
+bool acceptsRequest(const PlannedStop& _stop, TimeUs _deadline, TimeUs _now)
 {
-	const bool answersOnly = _stop.since != 0 && _now >= _stop.endsAt - kAnswerTime;
-	return !answersOnly && (!balancerKnows(_stop, _now) || _deadline <= _stop.endsAt);
+	const bool isInAnswerReserve = _stop.since != 0 && _now >= _stop.endsAt - kAnswerReserveUs;
+	return !isInAnswerReserve && (!hasBalancerDetected(_stop, _now) || _deadline <= _stop.endsAt);
 }
 
 uint32_t retryAfterStopMs(const PlannedStop& _stop, TimeUs _connectedAt, TimeUs _now, double _jitter)
 {
-	if (!balancerKnows(_stop, _connectedAt))
+	if (!hasBalancerDetected(_stop, _connectedAt))
 	{
 		return kOtherRouterMs;
 	}
-	const TimeUs left = std::max<TimeUs>(0, _stop.endsAt - _now);
-	return uint32_t(left / kMsToUs) + kRestartMs + uint32_t(_jitter * kReturnSpreadMs);
+	const TimeUs remaining = std::max<TimeUs>(0, _stop.endsAt - _now);
+	return uint32_t(remaining / kMsToUs) + kRestartMs + uint32_t(_jitter * kReturnSpreadMs);
 }
 } // namespace spanplank
--- a/src/core/region_limit.cpp
+++ b/src/core/region_limit.cpp
@@ -7,7 +7,7 @@
 {
 namespace
 {
-bool names(const std::vector<std::string>& _allowed, const std::string& _region)
+bool allowsRegion(const std::vector<std::string>& _allowed, const std::string& _region)
 {
 	return _allowed.empty() || std::find(_allowed.begin(), _allowed.end(), _region) != _allowed.end();
 }
@@ -20,7 +20,7 @@
 	limit.limited = !_route.empty() || !_account.empty();
 	for (const auto& [hall, region] : _regions)
 	{
-		if (limit.limited && names(_route, region) && names(_account, region))
+		if (limit.limited && allowsRegion(_route, region) && allowsRegion(_account, region))
 		{
 			limit.halls.insert(hall);
 		}
--- a/src/core/service_config.cpp
+++ b/src/core/service_config.cpp
@@ -94,13 +94,13 @@
 	return true;
 }
 
-bool knowsConfig(const ConfigCache& _cache)
+bool hasConfirmedConfig(const ConfigCache& _cache)
 {
-	return _cache.config->version != 0 && _cache.provedAt != 0;
+	return _cache.config->version != 0 && _cache.confirmedAt != 0;
 }
 
-bool isProvedFresh(const ConfigCache& _cache, TimeUs _now, TimeUs _bound)
+bool isConfirmedFresh(const ConfigCache& _cache, TimeUs _now, TimeUs _bound)
 {
-	return _cache.provedAt != 0 && _now - _cache.provedAt < _bound;
+	return _cache.confirmedAt != 0 && _now - _cache.confirmedAt < _bound;
 }
 } // namespace spanplank
--- a/src/core/store_contact.cpp
+++ b/src/core/store_contact.cpp
@@ -7,9 +7,9 @@
 {
 namespace
 {
-TimeUs shortestOutage(const StoreContact& _contact)
+TimeUs minOutage(const StoreContact& _contact)
 {
-	return std::max(_contact.watchGap + kLostAnswer, kLapseHeartbeats * _contact.heartbeat);
+	return std::max(_contact.watchPeriod + kMaxLostAnswerUs, kLapseHeartbeats * _contact.heartbeatPeriod);
 }
 
 TimeUs overlap(const Stall& _stall, TimeUs _from, TimeUs _to)
@@ -20,87 +20,87 @@
 /// @returns The step that is under way, less the time that a running process may take for it.
 Stall currentStall(const StoreContact& _contact, TimeUs _now)
 {
-	const TimeUs from = _contact.seenAt == 0 ? _now : _contact.seenAt + kLongestStep;
+	const TimeUs from = _contact.lastRunAt == 0 ? _now : _contact.lastRunAt + kMaxRunStepUs;
 	return {std::min(from, _now), _now};
 }
 
 /// @returns Time since the last proof in which this process ran.
-TimeUs silenceUntil(const StoreContact& _contact, TimeUs _until, TimeUs _now)
+TimeUs unconfirmedTimeUntil(const StoreContact& _contact, TimeUs _until, TimeUs _now)
 {
-	const TimeUs from = _contact.provedAt;
+	const TimeUs from = _contact.confirmedAt;
 	if (from == 0 || _until <= from)
 	{
 		return 0;
 	}
-	TimeUs notRun = overlap(currentStall(_contact, _now), from, _until);
+	TimeUs stalled = overlap(currentStall(_contact, _now), from, _until);
 	for (const Stall& stall : _contact.stalls)
 	{
-		notRun += overlap(stall, from, _until);
+		stalled += overlap(stall, from, _until);
 	}
-	return _until - from - notRun;
+	return _until - from - stalled;
 }
 } // namespace
 
-const char* name(LapseCause _cause)
+const char* name(RemovalCause _cause)
 {
 	switch (_cause)
 	{
-	case LapseCause::Calm:
+	case RemovalCause::Deregistered:
 		return "calm";
-	case LapseCause::Away:
+	case RemovalCause::StoreOutage:
 		return "store away";
-	case LapseCause::JustBack:
+	case RemovalCause::StoreRecovered:
 		break;
 	}
 	return "store just back";
 }
 
-void noteRunning(StoreContact& _contact, TimeUs _now)
+void recordRunning(StoreContact& _contact, TimeUs _now)
 {
 	const Stall stall = currentStall(_contact, _now);
-	_contact.seenAt = _now;
+	_contact.lastRunAt = _now;
 	if (stall.from == stall.to)
 	{
 		return;
 	}
 	_contact.stalls.push_back(stall);
-	if (_contact.stalls.size() > kMostStalls)
+	if (_contact.stalls.size() > kMaxStalls)
 	{
 		_contact.stalls.pop_front();
 	}
 }
 
-bool noteStoreProof(StoreContact& _contact, TimeUs _provedAt, TimeUs _now)
+bool recordStoreConfirmation(StoreContact& _contact, TimeUs _confirmedAt, TimeUs _now)
 {
-	noteRunning(_contact, _now);
-	if (_provedAt <= _contact.provedAt)
+	recordRunning(_contact, _now);
+	if (_confirmedAt <= _contact.confirmedAt)
 	{
 		return false;
 	}
-	const bool ended = silenceUntil(_contact, _provedAt, _now) >= shortestOutage(_contact);
-	_contact.backAt = ended ? _provedAt : _contact.backAt;
-	_contact.provedAt = _provedAt;
-	while (!_contact.stalls.empty() && _contact.stalls.front().to <= _provedAt)
+	const bool ended = unconfirmedTimeUntil(_contact, _confirmedAt, _now) >= minOutage(_contact);
+	_contact.recoveredAt = ended ? _confirmedAt : _contact.recoveredAt;
+	_contact.confirmedAt = _confirmedAt;
+	while (!_contact.stalls.empty() && _contact.stalls.front().to <= _confirmedAt)
 	{
 		_contact.stalls.pop_front();
 	}
 	return ended;
 }
 
-LapseJudgement judgeLapse(const StoreContact& _contact, TimeUs _now)
+RemovalAssessment assessRemoval(const StoreContact& _contact, TimeUs _now)
 {
-	LapseJudgement judgement;
-	judgement.since = _now;
-	judgement.silence = silenceUntil(_contact, _now, _now);
-	if (judgement.silence >= shortestOutage(_contact))
+	RemovalAssessment assessment;
+	assessment.since = _now;
+	assessment.silence = unconfirmedTimeUntil(_contact, _now, _now);
+	if (assessment.silence >= minOutage(_contact))
 	{
-		judgement.cause = LapseCause::Away;
+		assessment.cause = RemovalCause::StoreOutage;
 	}
-	else if (_contact.backAt != 0 && _now - _contact.backAt < kLapseTail)
+	else if (_contact.recoveredAt != 0 && _now - _contact.recoveredAt < kLapseReportDelayUs)
 	{
-		judgement.cause = LapseCause::JustBack;
-		judgement.since = _contact.backAt;
+		assessment.cause = RemovalCause::StoreRecovered;
+		assessment.since = _contact.recoveredAt;
 	}
-	return judgement;
+	return assessment;
 }
 } // namespace spanplank
--- a/src/core/timeline.cpp
+++ b/src/core/timeline.cpp
@@ -10,7 +10,7 @@
 	return _clock.last;
 }
 
-void hear(HybridClock& _clock, TimeUs _remote)
+void receiveTimestamp(HybridClock& _clock, TimeUs _remote)
 {
 	_clock.last = std::max(_clock.last, _remote);
 }
--- a/src/core/upstream_lives.cpp
+++ b/src/core/upstream_lives.cpp
@@ -129,7 +129,7 @@
 	}
 	entry.registered = false;
 	entry.goneAt = _now;
-	entry.lapse = judgeLapse(_table.contact, _now);
+	entry.lapse = assessRemoval(_table.contact, _now);
 }
 
 std::vector<uint32_t> replaceRegistrations(UpstreamTable& _table, absl::Span<const UpstreamRecord> _records,
--- a/src/core/upstream_table.cpp
+++ b/src/core/upstream_table.cpp
@@ -40,7 +40,7 @@
 bool mayReturn(const UpstreamTable& _table, const UpstreamEntry& _entry, double _share, TimeUs _now)
 {
 	const TimeUs grace = std::min(kReturnGrace, TimeUs(double(_table.leaveBound) * _share));
-	return _entry.lapse.cause != LapseCause::Calm && _now - _entry.lapse.since < grace;
+	return _entry.lapse.cause != RemovalCause::Deregistered && _now - _entry.lapse.since < grace;
 }
 
 bool isEjected(const UpstreamEntry& _entry, TimeUs _now)
--- a/src/direct/check_request.cpp
+++ b/src/direct/check_request.cpp
@@ -20,7 +20,7 @@
 void awaitFirstConfig(const DirectRouter& _router)
 {
 	const TimeUs until = _router.startedAt + kBlankWait;
-	while (_router.config.provedAt == 0 && monotonicNow() < until && _router.peers.follow.storeFailures == 0)
+	while (_router.config.confirmedAt == 0 && monotonicNow() < until && _router.peers.follow.storeFailures == 0)
 	{
 		sleepFor(kBlankPollMs);
 	}
@@ -31,7 +31,7 @@
 {
 	awaitFirstConfig(_serving.router);
 	_serving.config = _serving.router.config.config;
-	if (knowsConfig(_serving.router.config))
+	if (hasConfirmedConfig(_serving.router.config))
 	{
 		return true;
 	}
@@ -73,7 +73,7 @@
 		return true;
 	}
 	const TimeUs bound = TimeUs(double(router.settings.revokeMs) * kFreshShare * double(kMsToUs));
-	const bool proved = isProvedFresh(router.config, monotonicNow(), bound);
+	const bool proved = isConfirmedFresh(router.config, monotonicNow(), bound);
 	const AccountEntry* account = findAccount(*_serving.config, _serving.call.key);
 	if (!mayUseKeys(router.settings, proved, account != nullptr))
 	{
@@ -115,7 +115,7 @@
 {
 	DirectRouter& router = _serving.router;
 	const TimeUs now = monotonicNow();
-	if (takesRequest(router.stop, _serving.plan.deadline, now))
+	if (acceptsRequest(router.stop, _serving.plan.deadline, now))
 	{
 		return true;
 	}
--- a/src/direct/direct_metrics.cpp
+++ b/src/direct/direct_metrics.cpp
@@ -72,7 +72,7 @@
 			   double(stats.keysUnproved));
 	addGauge(page, "config_version", "Configuration in force.", double(_router.config.config->version));
 	addGauge(page, "config_age_ms", "Since the store last proved the configuration.",
-			 double(monotonicNow() - _router.config.provedAt) / double(kMsToUs));
+			 double(monotonicNow() - _router.config.confirmedAt) / double(kMsToUs));
 	addGauge(page, "in_flight", "Requests in flight.", double(_router.inFlight.size()));
 	addGauge(page, "requests_begun", "Requests from their first byte until their answer is written.",
 			 double(_router.callers.busy));
--- a/src/direct/direct_router.cpp
+++ b/src/direct/direct_router.cpp
@@ -94,8 +94,8 @@
 	_router.trials.exposureShare = _settings.exposureShare;
 	_router.upstreams.leaveBound = TimeUs(_settings.leaveMs) * kMsToUs;
 	StoreContact& contact = _router.upstreams.contact;
-	contact.heartbeat = TimeUs(_settings.heartbeatMs) * kMsToUs;
-	contact.watchGap = TimeUs(_settings.watchPauseMs + _settings.configWaitMs) * kMsToUs;
+	contact.heartbeatPeriod = TimeUs(_settings.heartbeatMs) * kMsToUs;
+	contact.watchPeriod = TimeUs(_settings.watchPauseMs + _settings.configWaitMs) * kMsToUs;
 	_router.upstreams.policies = _settings.policies;
 	_router.store.http.endpoint = _settings.store;
 	_router.store.watchHttp.endpoint = _settings.store;
@@ -155,7 +155,7 @@
 		return;
 	}
 	endInFlight(_router);
-	const TimeUs until = monotonicNow() + kAnswerTime;
+	const TimeUs until = monotonicNow() + kAnswerReserveUs;
 	while (_router.callers.busy > 0 && monotonicNow() < until)
 	{
 		sleepFor(kStopPollMs);
@@ -175,10 +175,10 @@
 	const uint32_t grace = std::max(_router.settings.graceMs, kEndMarginMs + 1);
 	const TimeUs until = begin + TimeUs(grace - kEndMarginMs) * kMsToUs;
 	_router.stop = {begin, until};
-	const TimeUs earliest = std::min(until, begin + kBalancerMs * kMsToUs);
+	const TimeUs earliest = std::min(until, begin + kBalancerDetectionMs * kMsToUs);
 	while (monotonicNow() < earliest || (_router.callers.busy > 0 && monotonicNow() < until))
 	{
-		if (monotonicNow() >= until - kAnswerTime)
+		if (monotonicNow() >= until - kAnswerReserveUs)
 		{
 			endInFlight(_router);
 		}
@@ -219,7 +219,7 @@
 
 bool isReady(const DirectRouter& _router)
 {
-	return !_router.stopping && knowsConfig(_router.config) && _router.upstreamsKnown;
+	return !_router.stopping && hasConfirmedConfig(_router.config) && _router.upstreamsKnown;
 }
 
 RetryWindow& retryWindow(DirectRouter& _router, const std::string& _service)
--- a/src/direct/final_answer.cpp
+++ b/src/direct/final_answer.cpp
@@ -105,7 +105,7 @@
 								 {"route", _serving.route != nullptr ? _serving.route->name : ""},
 								 {"service", _serving.service},
 								 {"config", std::to_string(router.config.config->version)},
-								 {"config_age_ms", millisText(now - router.config.provedAt)},
+								 {"config_age_ms", millisText(now - router.config.confirmedAt)},
 								 {"runs", std::to_string(_serving.plan.runs)},
 								 {"last", name(_serving.last)},
 								 {"after_ms", millisText(now - _serving.plan.arrivedAt)}});
@@ -160,7 +160,7 @@
 								  {"account", _serving.account != nullptr ? _serving.account->name : ""},
 								  {"runs", std::to_string(_serving.plan.runs)},
 								  {"config", std::to_string(_serving.config->version)},
-								  {"config_age_ms", millisText(now - router.config.provedAt)},
+								  {"config_age_ms", millisText(now - router.config.confirmedAt)},
 								  {"first_ms", millisText(_serving.firstByteAt - _serving.plan.arrivedAt)},
 								  {"whole_ms", millisText(now - _serving.plan.arrivedAt)}});
 }
--- a/src/direct/follow_store.cpp
+++ b/src/direct/follow_store.cpp
@@ -155,7 +155,7 @@
 	logEvent("store_returned", {{"known", std::to_string(_router.view.revision)},
 								{"revision", std::to_string(_list.revision)},
 								{"way", name(_way)}});
-	_router.upstreams.contact.backAt =
+	_router.upstreams.contact.recoveredAt =
 		_now; // Registrations that are missing may come back, as after an outage.
 	_router.view.listAgainAt =
 		_now + kRewrittenWithin + TimeUs(nextUnit(_router.random) * double(kLookUpSpread));
@@ -211,7 +211,7 @@
 /// @returns How long a watch waits for changes.
 uint32_t watchWaitMs(const DirectRouter& _router)
 {
-	return _router.config.provedAt == 0 ? kFirstWatchMs : _router.settings.configWaitMs;
+	return _router.config.confirmedAt == 0 ? kFirstWatchMs : _router.settings.configWaitMs;
 }
 
 /// Watches on a kept connection if there is one that is likely sound. One that has fallen silent does not
@@ -256,7 +256,7 @@
 	_follower.usedAt = monotonicNow();
 	noteStorePresent(_router, sentAt); // First: what went is judged by it.
 	takeStoreChanges(_router, *changes, StoreWay::Watch);
-	_router.config.provedAt = std::max(_router.config.provedAt, sentAt);
+	_router.config.confirmedAt = std::max(_router.config.confirmedAt, sentAt);
 }
 
 /// A blank router begins with a list that may be old. It takes no requests by it: a watch from there, or the
@@ -270,7 +270,7 @@
 /// @returns Whether a router that has just listed the store may yet get the first proof from a parent.
 bool awaitsFirstProof(const DirectRouter& _router, TimeUs _now)
 {
-	const bool blank = _router.settings.firstStart && _router.config.provedAt == 0;
+	const bool blank = _router.settings.firstStart && _router.config.confirmedAt == 0;
 	return blank && _router.view.listed && !_router.peers.behind &&
 		   _now - _router.view.firstListAt < kFirstProofPatience && mayFollow(_router, _now);
 }
@@ -286,7 +286,7 @@
 	const StoreList list = listStore(_follower.client, "");
 	noteStorePresent(_router, sentAt);
 	takeStoreList(_router, list, StoreWay::List);
-	_router.config.provedAt = std::max(_router.config.provedAt, sentAt);
+	_router.config.confirmedAt = std::max(_router.config.confirmedAt, sentAt);
 }
 
 void followOnce(DirectRouter& _router, StoreFollower& _follower)
@@ -339,7 +339,7 @@
 {
 	const uint32_t longest = followers(_router) == 0 ? _router.settings.watchPauseMs
 													 : std::min(_router.settings.watchPauseMs, kRelayPauseMs);
-	const bool known = _router.config.config->version != 0 && _router.config.provedAt != 0;
+	const bool known = _router.config.config->version != 0 && _router.config.confirmedAt != 0;
 	pauseUnlessFollowing(_router, known ? longest : 0);
 }
 
@@ -363,7 +363,7 @@
 			_router.view.listed = _router.view.listed && !believed;
 		}
 		const bool served = isFollowing(_router, now) || awaitsFirstProof(_router, now);
-		if (served && !wantsProbe(_router.peers.follow, now))
+		if (served && !isProbeDue(_router.peers.follow, now))
 		{
 			sleepFor(kFollowPollMs);
 			continue;
@@ -380,7 +380,7 @@
 		catch (const Failure& failure)
 		{
 			noteLost(_router, follower, failure.refusal());
-			noteStoreFailed(_router.peers.follow, monotonicNow());
+			recordStoreFailed(_router.peers.follow, monotonicNow());
 			pauseUnlessFollowing(_router, backoff(_router, follower.failures));
 		}
 		_router.followCalls = follower.client.stats;
@@ -437,8 +437,8 @@
 void noteStorePresent(DirectRouter& _router, TimeUs _provedAt)
 {
 	StoreContact& contact = _router.upstreams.contact;
-	const TimeUs before = contact.provedAt;
-	if (noteStoreProof(contact, _provedAt, monotonicNow()))
+	const TimeUs before = contact.confirmedAt;
+	if (recordStoreConfirmation(contact, _provedAt, monotonicNow()))
 	{
 		logEvent("store_outage_ended", {{"unproved_ms", std::to_string((_provedAt - before) / kMsToUs)}});
 	}
@@ -449,8 +449,8 @@
 	spawnFiber([&_router] {
 		while (true)
 		{
-			noteRunning(_router.upstreams.contact, monotonicNow());
-			sleepFor(kContactStepMs);
+			recordRunning(_router.upstreams.contact, monotonicNow());
+			sleepFor(kRunCheckPeriodMs);
 		}
 	});
 	spawnFiber([&_router] { followChanges(_router); });
--- a/src/direct/peer_links.cpp
+++ b/src/direct/peer_links.cpp
@@ -48,7 +48,7 @@
 	pong.trials = trialNews(_router, _link, _ping.seq);
 	pong.suspects = suspectNewsFor(_router.suspects, peers.toldSuspects[_link.idx], now);
 	pong.revision = _router.view.listed ? _router.view.revision : 0;
-	pong.proofAge = now - _router.config.provedAt;
+	pong.confirmationAge = now - _router.config.confirmedAt;
 	pong.loads = changesFor(peers.loads, child);
 	pong.homes = homesForChild(peers.homes, _link.idx);
 	pong.stopping = _router.stopping;
@@ -58,9 +58,9 @@
 	peers.hub->send(_link, MessageType::PeerPong, pong);
 }
 
-void answerAsk(DirectRouter& _router, LinkId _link, const StoreAsk& _ask)
+void answerAsk(DirectRouter& _router, LinkId _link, const StoreChangesRequest& _ask)
 {
-	const StoreChanges since = changesSince(_router.peers.changes, _ask.known, _router.view.revision);
+	const StoreChanges since = changesSince(_router.peers.changes, _ask.knownRevision, _router.view.revision);
 	_router.peers.hub->send(_link, MessageType::StoreChanges, since);
 }
 
@@ -75,13 +75,13 @@
 		takePong(_router, _link, _message.body.get<PeerPong>());
 		break;
 	case MessageType::PeerRegister:
-		takePeerRegister(_router, _message.body.get<PeerRegister>());
+		takePeerRegister(_router, _message.body.get<PeerRegistrationRequest>());
 		break;
 	case MessageType::StoreChanges:
 		takeChangesOfParent(_router, _message.body.get<StoreChanges>());
 		break;
 	case MessageType::StoreAsk:
-		answerAsk(_router, _link, _message.body.get<StoreAsk>());
+		answerAsk(_router, _link, _message.body.get<StoreChangesRequest>());
 		break;
 	case MessageType::StoreSnapshot:
 		takeSnapshotOfParent(_router, _message.body.get<StoreSnapshot>());
@@ -139,7 +139,7 @@
 	{
 		return;
 	}
-	if ((peers.key.empty() || !peers.keyStands) && _router.config.provedAt != 0)
+	if ((peers.key.empty() || !peers.keyStands) && _router.config.confirmedAt != 0)
 	{
 		writeLinkKey(_router);
 	}
@@ -214,16 +214,16 @@
 bool isFollowing(const DirectRouter& _router, TimeUs _now)
 {
 	const PeerLinks& peers = _router.peers;
-	const TimeUs oldest = hasParent(_router, _now) ? oldestProof(peers.follow) : kOldestUnledProof;
+	const TimeUs oldest = hasParent(_router, _now) ? maxConfirmationAge(peers.follow) : kOldestUnledProof;
 	const bool listed = _router.view.listed && !peers.behind;
-	return listed && !peers.parent.empty() && _now - _router.config.provedAt < oldest;
+	return listed && !peers.parent.empty() && _now - _router.config.confirmedAt < oldest;
 }
 
 void passChangesOn(DirectRouter& _router, uint64_t _from, const StoreList& _changes)
 {
 	PeerLinks& peers = _router.peers;
 	const StoreChanges changes{_from, _changes.revision, _changes.items};
-	noteChanges(peers.changes, changes);
+	recordChanges(peers.changes, changes);
 	for (const auto& [link, child] : peers.loads.children)
 	{
 		peers.hub->send(LinkId{link}, MessageType::StoreChanges, changes);
@@ -244,7 +244,7 @@
 void noteAskedStore(DirectRouter& _router, TimeUs _sentAt)
 {
 	_router.peers.behind = false;
-	noteStoreReached(_router.peers.follow, _sentAt);
+	recordStoreReached(_router.peers.follow, _sentAt);
 }
 
 size_t followers(const DirectRouter& _router)
--- a/src/direct/peer_parent.cpp
+++ b/src/direct/peer_parent.cpp
@@ -62,10 +62,10 @@
 {
 	PeerLinks& peers = _router.peers;
 	dropParent(_router);
-	noteParent(peers.follow, !_box.empty(), _now);
+	recordParent(peers.follow, !_box.empty(), _now);
 	logEvent("peer_chosen", {{"box", _box},
 							 {"peers", std::to_string(peers.tree.peers.size())},
-							 {"detached", peers.tree.selfLast ? "yes" : "no"}});
+							 {"detached", peers.tree.selfRanksLast ? "yes" : "no"}});
 	if (_box.empty())
 	{
 		return;
@@ -77,7 +77,7 @@
 /// A router that ranks itself last may come to follow one that follows it.
 void rankSelfLast(PeerLinks& _peers, bool _last)
 {
-	_peers.tree.selfLast = _last;
+	_peers.tree.selfRanksLast = _last;
 	_peers.loads.isolated = _last;
 }
 
@@ -85,14 +85,14 @@
 void searchParent(DirectRouter& _router, TimeUs _now)
 {
 	PeerLinks& peers = _router.peers;
-	noteSearch(peers.follow, _now);
+	recordSearch(peers.follow, _now);
 	rankSelfLast(peers, true);
 	if (peers.parent.empty())
 	{
 		followParent(_router, chooseParent(peers.tree, _now), _now);
 		return;
 	}
-	leaveParent(_router, name(FollowMove::Search), _now);
+	leaveParent(_router, name(FollowAction::Search), _now);
 }
 
 /// The parent is asked once for what this router does not know, the store after that.
@@ -105,7 +105,7 @@
 		return;
 	}
 	peers.askedFrom = known;
-	peers.hub->send(peers.parentLink, MessageType::StoreAsk, StoreAsk{known});
+	peers.hub->send(peers.parentLink, MessageType::StoreAsk, StoreChangesRequest{known});
 }
 
 /// Whatever its proof is worth by now, what the parent tells of loads and homes it tells once.
@@ -121,16 +121,16 @@
 {
 	PeerLinks& peers = _router.peers;
 	const bool first = peers.follow.answeredAt == 0;
-	const TimeUs proofAge = _now - peers.pingSentAt + _pong.proofAge;
-	noteParentAnswer(peers.follow, proofAge, _pong.chain, peerKeyOf(_router.settings.box), _now);
+	const TimeUs confirmationAge = _now - peers.pingSentAt + _pong.confirmationAge;
+	recordParentAnswer(peers.follow, confirmationAge, _pong.chain, peerKeyOf(_router.settings.box), _now);
 	if (first)
 	{
-		noteFollowed(peers.tree, peers.parent);
+		recordFollowed(peers.tree, peers.parent);
 		logEvent("peer_followed", {{"box", peers.parent},
 								   {"revision", std::to_string(_pong.revision)},
-								   {"proof_age_ms", std::to_string(_pong.proofAge / kMsToUs)}});
+								   {"proof_age_ms", std::to_string(_pong.confirmationAge / kMsToUs)}});
 	}
-	return _pong.revision != 0 && !peers.follow.ring;
+	return _pong.revision != 0 && !peers.follow.inCycle;
 }
 } // namespace
 
@@ -149,14 +149,14 @@
 	{
 		return;
 	}
-	const FollowMove move = nextFollowMove(peers.follow, _now);
+	const FollowAction move = nextFollowAction(peers.follow, _now);
 	rankSelfLast(peers, peers.follow.detached);
-	if (move == FollowMove::Search)
+	if (move == FollowAction::Search)
 	{
 		searchParent(_router, _now);
 		return;
 	}
-	if (move != FollowMove::Keep)
+	if (move != FollowAction::Keep)
 	{
 		leaveParent(_router, name(move), _now);
 		return;
@@ -213,7 +213,7 @@
 	takePeerHalts(_router, _pong.halts);
 	takePeerTrials(_router, _pong.trials, _link.idx);
 	takePeerSuspects(_router, _pong.suspects);
-	if (compareWall(_router.wall, _pong.wall, now))
+	if (syncWallClock(_router.wall, _pong.wall, now))
 	{
 		logEvent("wall_clock_corrected", {{"box", peers.parent}});
 	}
@@ -232,9 +232,9 @@
 		return;
 	}
 	peers.behind = false;
-	const TimeUs provedAt = peers.pingSentAt - _pong.proofAge;
+	const TimeUs provedAt = peers.pingSentAt - _pong.confirmationAge;
 	noteStorePresent(_router, provedAt);
-	_router.config.provedAt = std::max(_router.config.provedAt, provedAt);
+	_router.config.confirmedAt = std::max(_router.config.confirmedAt, provedAt);
 }
 
 void takeChangesOfParent(DirectRouter& _router, const StoreChanges& _changes)
--- a/src/direct/peer_registration.cpp
+++ b/src/direct/peer_registration.cpp
@@ -178,7 +178,7 @@
 	registration.toldOver = peers.parentLink;
 	registration.toldAt = _now;
 	registration.asks = isRegistered(peers) ? 0 : registration.asks + 1;
-	const PeerRegister wanted{peers.tree.self.box, encodePeer(peers.tree.self)};
+	const PeerRegistrationRequest wanted{peers.tree.self.box, encodePeer(peers.tree.self)};
 	peers.hub->send(peers.parentLink, MessageType::PeerRegister, wanted);
 }
 
@@ -212,7 +212,7 @@
 		registration.parentAt = now;
 		askParent(_router, now);
 	}
-	if (now < registration.retryAt || _router.config.provedAt == 0)
+	if (now < registration.retryAt || _router.config.confirmedAt == 0)
 	{
 		return;
 	}
@@ -233,7 +233,7 @@
 	}
 }
 
-void takePeerRegister(DirectRouter& _router, const PeerRegister& _register)
+void takePeerRegister(DirectRouter& _router, const PeerRegistrationRequest& _register)
 {
 	_router.peers.registration.wanted[_register.box] = _register.value;
 }
@@ -301,7 +301,7 @@
 			boxes.insert(afterPrefix(item.key, kPeerPrefix));
 		}
 	}
-	keepPeers(_router.peers.tree, boxes);
+	retainPeers(_router.peers.tree, boxes);
 	PeerRegistration& registration = _router.peers.registration;
 	noteStanding(registration, boxes.count(_router.peers.tree.self.box) == 0 ? 0 : registration.revision);
 }
--- a/src/direct/peer_registration_p.h
+++ b/src/direct/peer_registration_p.h
@@ -51,7 +51,7 @@
 void keepRegistered(DirectRouter& _router);
 
 /// A follower asks for its registration.
-void takePeerRegister(DirectRouter& _router, const PeerRegister& _register);
+void takePeerRegister(DirectRouter& _router, const PeerRegistrationRequest& _register);
 
 /// The store has lost all leases: this router's is taken anew, from a moment on.
 void forgetOwnLease(DirectRouter& _router, TimeUs _from);
--- a/src/direct/run_attempt.cpp
+++ b/src/direct/run_attempt.cpp
@@ -82,7 +82,7 @@
 	AttemptNotes notes{_upstream, upstream, _query, ""};
 	notes.begin = monotonicNow();
 	_serving.resumed = _serving.resumed || _serving.lastEventId >= 0;
-	notes.tableAge = notes.begin - router.config.provedAt;
+	notes.tableAge = notes.begin - router.config.confirmedAt;
 	notes.tableRevision = router.view.revision;
 	notes.expectedMs = expectedHeadMs(router.upstreams, _query, _upstream, notes.begin);
 	const HeadTimes head{notes.expectedMs, longestHeadMs(router.upstreams, _query, _upstream)};
--- a/src/direct/store_rollouts.cpp
+++ b/src/direct/store_rollouts.cpp
@@ -22,7 +22,7 @@
 /// @returns The middle of that time.
 TimeUs likelyWrittenAt(const DirectRouter& _router, TimeUs _now)
 {
-	const TimeUs unread = _router.view.listed ? _now - _router.config.provedAt : 0;
+	const TimeUs unread = _router.view.listed ? _now - _router.config.confirmedAt : 0;
 	return _now - std::clamp<TimeUs>(unread, 0, kLongestUnread) / 2;
 }
 } // namespace
@@ -34,7 +34,7 @@
 		RolloutOrder order = platform::decodeRolloutOrder(_item.value);
 		order.service = afterPrefix(_item.key, platform::kOrderPrefix);
 		// One that starts within a trial may have used its credit before.
-		_router.trials.credited = _router.view.listed && routersBefore(_router.peers.tree) < kExposureCredits;
+		_router.trials.credited = _router.view.listed && countHigherRanked(_router.peers.tree) < kExposureCredits;
 		if (!takeOrder(_router.trials, order, _item.revision, likelyWrittenAt(_router, _now)))
 		{
 			return;
@@ -162,7 +162,7 @@
 
 std::optional<RolloutStatus> wantedStatus(const DirectRouter& _router, const VersionTrial& _trial)
 {
-	return wantedStatus(_trial, _router.trials.exposureShare, _router.upstreams.contact.backAt,
+	return wantedStatus(_trial, _router.trials.exposureShare, _router.upstreams.contact.recoveredAt,
 						monotonicNow());
 }
 
--- a/src/direct/store_upstreams.cpp
+++ b/src/direct/store_upstreams.cpp
@@ -36,7 +36,7 @@
 			  {"cold_ms", std::to_string(_record.coldMs)},
 			  {"way", name(_source.way)},
 			  {"revision", std::to_string(_source.revision)},
-			  {"proof_age_ms", std::to_string((monotonicNow() - _router.config.provedAt) / kMsToUs)}});
+			  {"proof_age_ms", std::to_string((monotonicNow() - _router.config.confirmedAt) / kMsToUs)}});
 }
 
 void logUnregistered(const DirectRouter& _router, const UpstreamEntry& _entry, const ChangeSource& _source)
@@ -46,8 +46,8 @@
 			  {"leaving", _entry.record.leaving ? "yes" : "no"},
 			  {"way", name(_source.way)},
 			  {"revision", std::to_string(_source.revision)},
-			  {"proof_age_ms", std::to_string((monotonicNow() - _router.config.provedAt) / kMsToUs)},
-			  {"lapsed", _entry.lapse.cause == LapseCause::Calm ? "no" : "yes"},
+			  {"proof_age_ms", std::to_string((monotonicNow() - _router.config.confirmedAt) / kMsToUs)},
+			  {"lapsed", _entry.lapse.cause == RemovalCause::Deregistered ? "no" : "yes"},
 			  {"why", name(_entry.lapse.cause)},
 			  {"silence_ms", std::to_string(_entry.lapse.silence / kMsToUs)}});
 }
@@ -55,7 +55,7 @@
 UpstreamRecord decodeUpstreamItem(const StoreItem& _item)
 {
 	UpstreamRecord record = platform::decodeUpstream(afterPrefix(_item.key, platform::kUpstreamPrefix),
-													 _item.value, _item.garbled);
+													 _item.value, _item.malformed);
 	record.revision = _item.revision;
 	return record;
 }
@@ -145,7 +145,7 @@
 		return false;
 	}
 	const UpstreamEntry& entry = _table.entries.at(known.idx);
-	return !entry.registered && entry.lapse.cause == LapseCause::Calm;
+	return !entry.registered && entry.lapse.cause == RemovalCause::Deregistered;
 }
 } // namespace
 
--- a/src/direct/upstream_end.cpp
+++ b/src/direct/upstream_end.cpp
@@ -49,7 +49,7 @@
 	const bool replaced = trial != _router.trials.trials.end() &&
 						  trial->second.state == RolloutState::Completed &&
 						  trial->second.order.version != _notes.record.version;
-	return replaced || (!entry->second.registered && entry->second.lapse.cause == LapseCause::Calm);
+	return replaced || (!entry->second.registered && entry->second.lapse.cause == RemovalCause::Deregistered);
 }
 
 void logEnded(Serving& _serving, const AttemptNotes& _notes, TimeUs _now)
--- a/src/direct/usage_duty.cpp
+++ b/src/direct/usage_duty.cpp
@@ -113,7 +113,7 @@
 	}
 	switch (answer)
 	{
-	case platform::DutyAnswer::Taken:
+	case platform::DutyAnswer::Accepted:
 		duty.reported = true;
 		break;
 	case platform::DutyAnswer::Fenced:
--- a/tests/core/change_log_test.cpp
+++ b/tests/core/change_log_test.cpp
@@ -26,7 +26,7 @@
 	for (int step = 0; step < steps; ++step)
 	{
 		const uint64_t to = newest + *rc::gen::inRange<uint64_t>(1, 4);
-		noteChanges(log, changeOf(newest, to));
+		recordChanges(log, changeOf(newest, to));
 		newest = to;
 	}
 	const uint64_t known = *rc::gen::inRange<uint64_t>(100, newest + 1);
@@ -43,7 +43,7 @@
 TEST(ChangeLog, WhoeverKnowsLessThanTheLogReachesBackIsNotMisled)
 {
 	ChangeLog log;
-	noteChanges(log, changeOf(100, 103));
+	recordChanges(log, changeOf(100, 103));
 	const StoreChanges since = changesSince(log, 99, 103);
 	EXPECT_EQ(since.from, 103u) << "a follower at 99 sees that it can not go on from here";
 	EXPECT_TRUE(since.items.empty());
@@ -52,8 +52,8 @@
 TEST(ChangeLog, AGapBeginsItAnew)
 {
 	ChangeLog log;
-	noteChanges(log, changeOf(100, 103));
-	noteChanges(log, changeOf(105, 106));
+	recordChanges(log, changeOf(100, 103));
+	recordChanges(log, changeOf(105, 106));
 	EXPECT_EQ(changesSince(log, 103, 106).from, 106u);
 	EXPECT_EQ(changesSince(log, 105, 106).items.size(), 1u);
 	EXPECT_EQ(changesSince(log, 105, 108).from, 108u) << "it ends before what the router knows";
@@ -64,11 +64,11 @@
 	ChangeLog log;
 	for (uint64_t revision = 0; revision < 100; ++revision)
 	{
-		noteChanges(log, changeOf(revision, revision + 1, kMostLogBytes / 10));
+		recordChanges(log, changeOf(revision, revision + 1, kMaxLogBytes / 10));
 	}
-	EXPECT_LE(log.bytes, kMostLogBytes);
+	EXPECT_LE(log.bytes, kMaxLogBytes);
 	EXPECT_LE(log.changes.size(), 10u);
-	noteChanges(log, changeOf(100, 101, 2 * kMostLogBytes));
+	recordChanges(log, changeOf(100, 101, 2 * kMaxLogBytes));
 	EXPECT_TRUE(log.changes.empty()) << "one that is too large is not kept";
 	EXPECT_EQ(log.bytes, 0u);
 }
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -37,7 +37,7 @@
 
 TEST(ConfigReplica, AnyOrderAndRepetitionGivesTheNewestOfEach)
 {
-	const bool held = rc::check("newest wins", [](const std::vector<uint8_t>& _order) {
+	const bool passed = rc::check("newest wins", [](const std::vector<uint8_t>& _order) {
 		ConfigReplica replica;
 		std::map<std::string, uint64_t> newest; // The naive replica: the highest revision by name.
 		uint64_t revision = 0;
@@ -57,7 +57,7 @@
 			RC_ASSERT(replica.versions.at(name).generation == expected);
 		}
 	});
-	EXPECT_TRUE(held);
+	EXPECT_TRUE(passed);
 }
 
 TEST(ConfigReplica, GapIsNotApplied)
@@ -127,7 +127,7 @@
 	EXPECT_EQ(apply(second, updateSince(first, 0)), ApplyResult::Applied);
 	EXPECT_EQ(second.revision, 4u);
 	EXPECT_EQ(second.versions.size(), 2u);
-	EXPECT_EQ(apply(second, updateSince(first, 4)), ApplyResult::Known);
+	EXPECT_EQ(apply(second, updateSince(first, 4)), ApplyResult::Unchanged);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/hall_evacuation_test.cpp
+++ b/tests/core/hall_evacuation_test.cpp
@@ -82,10 +82,10 @@
 TEST_F(Evacuation, AnUpstreamThatLapsedInAnOutageIsNotUsedInAnEvacuatedHall)
 {
 	add("one", "a");
-	noteStoreProof(table.contact, 1, 1);
-	for (TimeUs now = 0; now < 9000 * kMsToUs; now += kContactStepMs * kMsToUs)
+	recordStoreConfirmation(table.contact, 1, 1);
+	for (TimeUs now = 0; now < 9000 * kMsToUs; now += kRunCheckPeriodMs * kMsToUs)
 	{
-		noteRunning(table.contact, now);
+		recordRunning(table.contact, now);
 	}
 	unregisterUpstream(table, "one", 9000 * kMsToUs);
 	const TimeUs soon = 9001 * kMsToUs;
--- a/tests/core/peer_tree_test.cpp
+++ b/tests/core/peer_tree_test.cpp
@@ -97,9 +97,9 @@
 	return followers;
 }
 
-size_t mostHops(const std::map<std::string, std::string>& _parents)
+size_t maxHops(const std::map<std::string, std::string>& _parents)
 {
-	size_t most = 0;
+	size_t highest = 0;
 	for (const auto& [box, parent] : _parents)
 	{
 		size_t hops = 0;
@@ -112,9 +112,9 @@
 				return hops;
 			}
 		}
-		most = std::max(most, hops);
+		highest = std::max(highest, hops);
 	}
-	return most;
+	return highest;
 }
 
 TEST(PeerTree, InAFleetWithAFewLargeBoxesTheLargeOnesCarryTheOthers)
@@ -124,9 +124,9 @@
 	for (const auto& [parent, count] : followersOf(parents))
 	{
 		EXPECT_TRUE(parent.empty() || parent.find("large") == 0) << parent << " has " << count;
-		EXPECT_LE(count, mostFollowers(kLarge)) << parent;
+		EXPECT_LE(count, maxFollowers(kLarge)) << parent;
 	}
-	EXPECT_LE(mostHops(parents), 4u);
+	EXPECT_LE(maxHops(parents), 4u);
 }
 
 TEST(PeerTree, InAFleetOfSmallBoxesAloneEachBearsAFewFollowersOverMoreLevels)
@@ -134,9 +134,9 @@
 	const std::map<std::string, std::string> parents = parentsOf(fleet(5, 103, kSmall));
 	for (const auto& [parent, count] : followersOf(parents))
 	{
-		EXPECT_LE(count, mostFollowers(kSmall)) << parent;
+		EXPECT_LE(count, maxFollowers(kSmall)) << parent;
 	}
-	EXPECT_LE(mostHops(parents), 6u);
+	EXPECT_LE(maxHops(parents), 6u);
 	EXPECT_EQ(std::count_if(parents.begin(), parents.end(),
 							[](const auto& _entry) { return _entry.second.empty(); }),
 			  1);
@@ -160,14 +160,14 @@
 		}
 		parents[self.box] = chooseParent(tree, 0);
 	}
-	RC_ASSERT(mostHops(parents) <= all.size());
+	RC_ASSERT(maxHops(parents) <= all.size());
 }
 
 TEST(PeerTree, ABoxThatTellsNoCapacityRanksLastAndBearsTheFewest)
 {
 	std::vector<PeerRecord> all = fleet(1, 4, kSmall);
 	all[0].capacity = {};
-	EXPECT_EQ(mostFollowers(all[0].capacity), 2u);
+	EXPECT_EQ(maxFollowers(all[0].capacity), 2u);
 	EXPECT_EQ(followersOf(parentsOf(all)).count(all[0].box), 0u);
 }
 
@@ -179,12 +179,12 @@
 	ASSERT_FALSE(first.empty());
 	avoidPeer(tree, first, 0);
 	EXPECT_NE(chooseParent(tree, 0), first);
-	EXPECT_EQ(chooseParent(tree, kAvoidPeer), first);
-	avoidPeer(tree, first, kAvoidPeer);
-	EXPECT_NE(chooseParent(tree, kAvoidPeer * 2), first);
-	noteFollowed(tree, first);
-	avoidPeer(tree, first, kAvoidPeer * 10);
-	EXPECT_EQ(chooseParent(tree, kAvoidPeer * 11), first) << "once it was followed it starts afresh";
+	EXPECT_EQ(chooseParent(tree, kAvoidPeerUs), first);
+	avoidPeer(tree, first, kAvoidPeerUs);
+	EXPECT_NE(chooseParent(tree, kAvoidPeerUs * 2), first);
+	recordFollowed(tree, first);
+	avoidPeer(tree, first, kAvoidPeerUs * 10);
+	EXPECT_EQ(chooseParent(tree, kAvoidPeerUs * 11), first) << "once it was followed it starts afresh";
 }
 
 TEST(PeerTree, ARouterWhoseRegistrationWentIsNotFollowedANewAddressStartsAfresh)
@@ -196,7 +196,7 @@
 	other.address = "10.9.9.9:7000";
 	registerPeer(tree, other);
 	EXPECT_EQ(tree.peers.at(other.box).avoidUntil, 0);
-	keepPeers(tree, {});
+	retainPeers(tree, {});
 	EXPECT_EQ(chooseParent(tree, 0), "");
 	registerPeer(tree, all[0]);
 	EXPECT_TRUE(tree.peers.empty()) << "it is no peer of itself";
@@ -207,23 +207,23 @@
 	PeerPong pong;
 	pong.seq = 3;
 	pong.revision = 99;
-	pong.proofAge = 1234567;
+	pong.confirmationAge = 1234567;
 	pong.loads = {{keyOf("u"), {12, 3}}};
 	pong.stopping = true;
-	const auto pongBack =
+	const auto decodedPong =
 		nlohmann::json::from_cbor(nlohmann::json::to_cbor(nlohmann::json(pong))).get<PeerPong>();
-	EXPECT_EQ(pongBack.revision, 99u);
-	EXPECT_EQ(pongBack.proofAge, 1234567);
-	ASSERT_EQ(pongBack.loads.size(), 1u);
-	EXPECT_EQ(pongBack.loads[0].upstream, keyOf("u"));
-	EXPECT_EQ(pongBack.loads[0].load, (LoadCount{12, 3}));
-	EXPECT_TRUE(pongBack.stopping);
+	EXPECT_EQ(decodedPong.revision, 99u);
+	EXPECT_EQ(decodedPong.confirmationAge, 1234567);
+	ASSERT_EQ(decodedPong.loads.size(), 1u);
+	EXPECT_EQ(decodedPong.loads[0].upstream, keyOf("u"));
+	EXPECT_EQ(decodedPong.loads[0].load, (LoadCount{12, 3}));
+	EXPECT_TRUE(decodedPong.stopping);
 	const StoreChanges changes{4, 6, {{"k", "value", 5, false}, {"gone", "", 6, true}}};
-	const auto back =
+	const auto decoded =
 		nlohmann::json::from_cbor(nlohmann::json::to_cbor(nlohmann::json(changes))).get<StoreChanges>();
-	EXPECT_EQ(back.from, 4u);
-	EXPECT_EQ(back.items.at(0).value, "value");
-	EXPECT_TRUE(back.items.at(1).deleted);
+	EXPECT_EQ(decoded.from, 4u);
+	EXPECT_EQ(decoded.items.at(0).value, "value");
+	EXPECT_TRUE(decoded.items.at(1).deleted);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/planned_stop_test.cpp
+++ b/tests/core/planned_stop_test.cpp
@@ -14,24 +14,24 @@
 
 TEST(PlannedStop, ARouterThatDoesNotStopTakesAll)
 {
-	EXPECT_TRUE(takesRequest({}, kEnd + 60 * kSecond, kSignal));
+	EXPECT_TRUE(acceptsRequest({}, kEnd + 60 * kSecond, kSignal));
 }
 
 TEST(PlannedStop, AllAreTakenUntilTheBalancerKnowsThenThoseWhoseDeadlineIsWithinTheStop)
 {
-	EXPECT_TRUE(takesRequest(kStop, kEnd + kSecond, kSignal + 2 * kSecond));
-	EXPECT_FALSE(takesRequest(kStop, kEnd + kSecond, kSignal + 3 * kSecond));
-	EXPECT_TRUE(takesRequest(kStop, kEnd, kSignal + 3 * kSecond));
+	EXPECT_TRUE(acceptsRequest(kStop, kEnd + kSecond, kSignal + 2 * kSecond));
+	EXPECT_FALSE(acceptsRequest(kStop, kEnd + kSecond, kSignal + 3 * kSecond));
+	EXPECT_TRUE(acceptsRequest(kStop, kEnd, kSignal + 3 * kSecond));
 }
 
 // A request that came as answers alone were still written was sent to an upstream and cut there.
 TEST(PlannedStop, NoneIsTakenInTheTimeThatIsLeftForAnswers)
 {
 	const PlannedStop brief{kSignal, kSignal + kSecond}; // It ends before the balancer knows.
-	EXPECT_TRUE(takesRequest(brief, kEnd, brief.endsAt - kAnswerTime - 1));
-	EXPECT_FALSE(takesRequest(brief, kEnd, brief.endsAt - kAnswerTime));
-	EXPECT_FALSE(takesRequest(brief, brief.endsAt, brief.endsAt - 1));
-	EXPECT_FALSE(takesRequest(brief, kEnd, brief.endsAt + kSecond)) << "late, as the process was not run";
+	EXPECT_TRUE(acceptsRequest(brief, kEnd, brief.endsAt - kAnswerReserveUs - 1));
+	EXPECT_FALSE(acceptsRequest(brief, kEnd, brief.endsAt - kAnswerReserveUs));
+	EXPECT_FALSE(acceptsRequest(brief, brief.endsAt, brief.endsAt - 1));
+	EXPECT_FALSE(acceptsRequest(brief, kEnd, brief.endsAt + kSecond)) << "late, as the process was not run";
 }
 
 TEST(PlannedStop, OnAnOldConnectionTheCallerGoesToAnotherRouterAtOnce)
--- a/tests/core/service_config_test.cpp
+++ b/tests/core/service_config_test.cpp
@@ -70,10 +70,10 @@
 TEST(ConfigCache, IsFreshOnlyWithinTheBoundOfAProof)
 {
 	ConfigCache cache;
-	EXPECT_FALSE(isProvedFresh(cache, 1, 1000)) << "nothing was ever proved";
-	cache.provedAt = 5000;
-	EXPECT_TRUE(isProvedFresh(cache, 5999, 1000));
-	EXPECT_FALSE(isProvedFresh(cache, 6000, 1000));
+	EXPECT_FALSE(isConfirmedFresh(cache, 1, 1000)) << "nothing was ever proved";
+	cache.confirmedAt = 5000;
+	EXPECT_TRUE(isConfirmedFresh(cache, 5999, 1000));
+	EXPECT_FALSE(isConfirmedFresh(cache, 6000, 1000));
 }
 
 TEST(Routes, OnlySafeAndResumableRequestsAreRepeatable)
--- a/tests/core/store_contact_test.cpp
+++ b/tests/core/store_contact_test.cpp
@@ -18,26 +18,26 @@
 
 	StoreContactTest()
 	{
-		noteStoreProof(contact, now, now);
+		recordStoreConfirmation(contact, now, now);
 	}
 
 	void run(TimeUs _for)
 	{
 		for (const TimeUs until = now + _for; now < until;)
 		{
-			now = std::min(until, now + TimeUs(kContactStepMs) * kMsToUs);
-			noteRunning(contact, now);
+			now = std::min(until, now + TimeUs(kRunCheckPeriodMs) * kMsToUs);
+			recordRunning(contact, now);
 		}
 	}
 
-	void freeze(TimeUs _for)
+	void stall(TimeUs _for)
 	{
 		now += _for;
 	}
 
-	LapseCause cause() const
+	RemovalCause cause() const
 	{
-		return judgeLapse(contact, now).cause;
+		return assessRemoval(contact, now).cause;
 	}
 };
 
@@ -48,40 +48,40 @@
 TEST_F(StoreContactTest, ATimeWithoutProofsThatIsShorterThanThreeHeartbeatsIsNoOutage)
 {
 	run(2960 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::Calm);
-	EXPECT_FALSE(noteStoreProof(contact, now, now));
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
+	EXPECT_FALSE(recordStoreConfirmation(contact, now, now));
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
 TEST_F(StoreContactTest, ProofsThatAreMissingForThreeHeartbeatsAreAnOutage)
 {
 	run(3500 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 	run(100 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::Away);
-	EXPECT_TRUE(noteStoreProof(contact, now, now));
-	EXPECT_EQ(cause(), LapseCause::JustBack);
+	EXPECT_EQ(cause(), RemovalCause::StoreOutage);
+	EXPECT_TRUE(recordStoreConfirmation(contact, now, now));
+	EXPECT_EQ(cause(), RemovalCause::StoreRecovered);
 	run(900 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::JustBack);
-	EXPECT_EQ(judgeLapse(contact, now).since, now - 900 * kMsToUs);
+	EXPECT_EQ(cause(), RemovalCause::StoreRecovered);
+	EXPECT_EQ(assessRemoval(contact, now).since, now - 900 * kMsToUs);
 	run(100 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
 TEST_F(StoreContactTest, LongerHeartbeatsTakeLongerToLapse)
 {
-	contact.heartbeat = 5 * kSecond;
+	contact.heartbeatPeriod = 5 * kSecond;
 	run(14 * kSecond);
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 	run(1 * kSecond);
-	EXPECT_EQ(cause(), LapseCause::Away);
+	EXPECT_EQ(cause(), RemovalCause::StoreOutage);
 }
 
 TEST_F(StoreContactTest, ShortHeartbeatsMakeNoOutageOfTheGapsBetweenProofsOfAStoreThatIsThere)
 {
-	contact.heartbeat = 200 * kMsToUs;
+	contact.heartbeatPeriod = 200 * kMsToUs;
 	run(2900 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
 // A process that is not run for seconds hears no proof either. Its calls time out when it wakes, and what
@@ -89,32 +89,32 @@
 TEST_F(StoreContactTest, ATimeInWhichThisProcessWasNotRunIsNoOutage)
 {
 	run(500 * kMsToUs);
-	freeze(20 * kSecond);
-	EXPECT_EQ(cause(), LapseCause::Calm) << "before any step was noted";
+	stall(20 * kSecond);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered) << "before any step was noted";
 	run(500 * kMsToUs);
-	EXPECT_EQ(cause(), LapseCause::Calm);
-	EXPECT_FALSE(noteStoreProof(contact, now, now));
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
+	EXPECT_FALSE(recordStoreConfirmation(contact, now, now));
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
 TEST_F(StoreContactTest, ACallThatWasUnderWayWhenTheProcessStoppedMakesNoOutageEither)
 {
 	run(500 * kMsToUs);
 	const TimeUs sentAt = now;
-	freeze(20 * kSecond);
-	EXPECT_FALSE(noteStoreProof(contact, sentAt, now));
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	stall(20 * kSecond);
+	EXPECT_FALSE(recordStoreConfirmation(contact, sentAt, now));
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 	run(kSecond);
-	EXPECT_EQ(cause(), LapseCause::Calm);
+	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
 TEST_F(StoreContactTest, BeforeTheFirstProofThereIsNoOutage)
 {
-	StoreContact blank;
-	noteRunning(blank, kBegin);
-	noteRunning(blank, kBegin + 300 * kMsToUs);
-	EXPECT_EQ(judgeLapse(blank, kBegin + 300 * kMsToUs).cause, LapseCause::Calm);
-	EXPECT_FALSE(noteStoreProof(blank, kBegin + 300 * kMsToUs, kBegin + 300 * kMsToUs));
+	StoreContact unconfirmed;
+	recordRunning(unconfirmed, kBegin);
+	recordRunning(unconfirmed, kBegin + 300 * kMsToUs);
+	EXPECT_EQ(assessRemoval(unconfirmed, kBegin + 300 * kMsToUs).cause, RemovalCause::Deregistered);
+	EXPECT_FALSE(recordStoreConfirmation(unconfirmed, kBegin + 300 * kMsToUs, kBegin + 300 * kMsToUs));
 }
 
 /// Proofs of a store that is there, by an answer that took a while, with pauses of the process at any place.
@@ -126,13 +126,13 @@
 		const TimeUs sentAt = now;
 		if (*rc::gen::inRange(0, 3) == 0)
 		{
-			freeze(*rc::gen::inRange<TimeUs>(0, 30) * kSecond);
+			stall(*rc::gen::inRange<TimeUs>(0, 30) * kSecond);
 		}
 		run(TimeUs(step) * kMsToUs / 2);
-		RC_ASSERT(!noteStoreProof(contact, sentAt, now));
-		RC_ASSERT(cause() == LapseCause::Calm);
+		RC_ASSERT(!recordStoreConfirmation(contact, sentAt, now));
+		RC_ASSERT(cause() == RemovalCause::Deregistered);
 		run(TimeUs(step) * kMsToUs / 2);
-		RC_ASSERT(cause() == LapseCause::Calm);
+		RC_ASSERT(cause() == RemovalCause::Deregistered);
 	}
 }
 
@@ -142,14 +142,14 @@
 	const auto before = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10000));
 	for (const int step : before)
 	{
-		*rc::gen::arbitrary<bool>() ? run(TimeUs(step) * kMsToUs) : freeze(TimeUs(step) * kMsToUs);
-		noteStoreProof(contact, now, now);
+		*rc::gen::arbitrary<bool>() ? run(TimeUs(step) * kMsToUs) : stall(TimeUs(step) * kMsToUs);
+		recordStoreConfirmation(contact, now, now);
 	}
 	run(*rc::gen::inRange<TimeUs>(3600, 30000) * kMsToUs);
-	RC_ASSERT(cause() == LapseCause::Away);
-	RC_ASSERT(noteStoreProof(contact, now, now));
-	RC_ASSERT(judgeLapse(contact, now).since == now);
-	RC_ASSERT(cause() == LapseCause::JustBack);
+	RC_ASSERT(cause() == RemovalCause::StoreOutage);
+	RC_ASSERT(recordStoreConfirmation(contact, now, now));
+	RC_ASSERT(assessRemoval(contact, now).since == now);
+	RC_ASSERT(cause() == RemovalCause::StoreRecovered);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/upstream_table_test.cpp
+++ b/tests/core/upstream_table_test.cpp
@@ -44,12 +44,12 @@
 	/// The store proves nothing between two moments, and this process runs all the time.
 	void beAway(TimeUs _from, TimeUs _to)
 	{
-		noteStoreProof(table.contact, _from, _from);
-		for (TimeUs now = _from; now < _to; now += kContactStepMs * kMsToUs)
+		recordStoreConfirmation(table.contact, _from, _from);
+		for (TimeUs now = _from; now < _to; now += kRunCheckPeriodMs * kMsToUs)
 		{
-			noteRunning(table.contact, now);
+			recordRunning(table.contact, now);
 		}
-		noteStoreProof(table.contact, _to, _to);
+		recordStoreConfirmation(table.contact, _to, _to);
 	}
 
 	void fail(UpstreamId _id, HealthSign _sign, TimeUs _now)
--- a/tests/core/usage_ledger_test.cpp
+++ b/tests/core/usage_ledger_test.cpp
@@ -124,9 +124,9 @@
 	constexpr TimeUs kWrong = 2000 * kMsToUs;
 	WallClock clock;
 	wallTime(clock, kTrue + kWrong, 0);
-	EXPECT_TRUE(compareWall(clock, kTrue + 10, 10));
+	EXPECT_TRUE(syncWallClock(clock, kTrue + 10, 10));
 	EXPECT_EQ(wallTime(clock, kTrue + kWrong + 20, 20), kTrue + 20);
-	EXPECT_FALSE(compareWall(clock, kTrue + kWrong, 30)) << "once only";
+	EXPECT_FALSE(syncWallClock(clock, kTrue + kWrong, 30)) << "once only";
 }
 } // namespace
 } // namespace spanplank
--- a/tests/direct/caller_stop_test.cpp
+++ b/tests/direct/caller_stop_test.cpp
@@ -76,7 +76,7 @@
 	{
 		_system.terminate();
 		ASSERT_TRUE(eventually([&] { return _system.log().find("event=stopping") != std::string::npos; }));
-		sleepFor(kBalancerMs + 1000);
+		sleepFor(kBalancerDetectionMs + 1000);
 	}
 };
 
--- a/tests/direct/chosen_upstream_test.cpp
+++ b/tests/direct/chosen_upstream_test.cpp
@@ -41,7 +41,7 @@
 	{
 		router.pool.io = &testIo();
 		adoptConfig(router.config, platform::decodeConfig(basicConfig(kKey).dump()));
-		router.config.provedAt = monotonicNow();
+		router.config.confirmedAt = monotonicNow();
 		router.callers.handler = [this](HttpExchange& _exchange) {
 			serveDirect(router, _exchange);
 		};
--- a/tests/direct/direct_settings_test.cpp
+++ b/tests/direct/direct_settings_test.cpp
@@ -34,9 +34,9 @@
 
 TEST_F(DirectSettingsTest, TheCapacityOfTheBoxBoundsTheFollowers)
 {
-	EXPECT_EQ(mostFollowers(load("").capacity), 50u);
-	EXPECT_EQ(mostFollowers(load("processorShare: 0.09\nlinkMbps: 20.0\n").capacity), 4u);
-	EXPECT_EQ(mostFollowers(load("processorShare: 0.5\nlinkMbps: 10\n").capacity), 10u) << "the link binds";
+	EXPECT_EQ(maxFollowers(load("").capacity), 50u);
+	EXPECT_EQ(maxFollowers(load("processorShare: 0.09\nlinkMbps: 20.0\n").capacity), 4u);
+	EXPECT_EQ(maxFollowers(load("processorShare: 0.5\nlinkMbps: 10\n").capacity), 10u) << "the link binds";
 }
 
 TEST_F(DirectSettingsTest, RegionsOfHallsAreAMappingOrNone)
--- a/tests/direct/store_view_test.cpp
+++ b/tests/direct/store_view_test.cpp
@@ -275,7 +275,7 @@
 				  "{\"private_key\":\"op/x\",\"revision\":2,\"value\":\"e30=\"}],\"as_of\":2}";
 	const StoreList list = platform::storeProtocol().decodeList(answer);
 	ASSERT_EQ(list.items.size(), 2u);
-	EXPECT_TRUE(list.items[0].garbled);
+	EXPECT_TRUE(list.items[0].malformed);
 	EXPECT_EQ(list.items[1].value, "{}");
 }
 
