--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -198,11 +198,11 @@
 		return guard;
 	});
 	const double bill = bytesEach(kCount, [](uint32_t _count) {
-		auto book = std::make_unique<BillBook>();
+		auto book = std::make_unique<BillTable>();
 		for (uint32_t ii = 1; ii <= _count; ++ii)
 		{
-			keepBill(*book, {"entry-0.0123456789", ii, fmt::format("entry-0.0123456789-{}", ii),
-							 "university-1", "marker-small@1", 100, 50, 0.1});
+			retainBill(*book, {"entry-0.0123456789", ii, fmt::format("entry-0.0123456789-{}", ii),
+							   "university-1", "marker-small@1", 100, 50, 0.1});
 		}
 		return book;
 	});
--- a/include/spanplank/agent_core.h
+++ b/include/spanplank/agent_core.h
@@ -1,5 +1,6 @@
-/// The agent's decisions: the last gate before an upstream. Judges every attempt again, runs non-repeatable
-/// calls at most once, bounds exposure, makes the bills.
+/// Core of the agent, the process in front of one upstream. Checks every attempt again before it is
+/// forwarded, runs non-repeatable calls at most once, limits the exposure of candidate versions and creates
+/// the bills.
 #ifndef SPANPLANK_AGENT_CORE_H_HEADER_GUARD
 #define SPANPLANK_AGENT_CORE_H_HEADER_GUARD
 
@@ -18,8 +19,9 @@
 
 namespace spanplank
 {
-// Actions of the agent.
-/// Send this work to the upstream now. Nothing may come between this and the first byte.
+// Actions that the core returns to the daemon.
+/// Forward the work to the upstream at once. The daemon must not delay between this action and the first
+/// byte.
 struct ForwardWork
 {
 	WorkId work;
@@ -49,14 +51,15 @@
 	LinkId to;
 	AnswerRefused message;
 };
-/// A version was halted here: tell every link, and the store when it can be reached.
+/// This agent halted a version: send the halt over every link, and write it to the store once it is
+/// reachable.
 struct AnnounceHalt
 {
 	Halt halt;
 };
 
 using AgentAction = std::variant<ForwardWork, CancelWork, ReplyStart, ReplyPart, ReplyEnd, ReplyRefused,
-								 AnnounceHalt, SendIntent, SendOutcome, AskRecords, TableAdopted>;
+								 AnnounceHalt, SendIntent, SendOutcome, RequestRecords, TableAdopted>;
 using AgentActions = std::vector<AgentAction>;
 
 struct AgentInit
@@ -65,15 +68,15 @@
 	AdmissionLimits admission;
 	RunOnceLimits runOnce;
 	size_t maxUnflushedBills = kMaxUnflushedBills;
-	uint32_t grantSize = 4; ///< Exposure credits taken at once.
-	/// Off only to show what fails without it: judges on arrival alone, not when work leaves the queue.
-	bool judgeTwice = true;
-	/// Off only for comparison: candidates answer without credits.
+	uint32_t grantSize = 4; ///< Exposure credits requested from the store at a time.
+	/// Checks work again when it leaves the queue, not only on arrival. Tests disable it to show the failure.
+	bool recheckAtStart = true;
+	/// Candidate versions need an exposure credit for each answer. Disabled only for comparison.
 	bool boundExposure = true;
 };
 
-/// How an upstream answered, in the end.
-struct UpstreamEnd
+/// Totals of a completed answer, as the upstream reported them.
+struct AnswerSummary
 {
 	uint32_t promptTokens = 0;
 	uint32_t outputTokens = 0;
@@ -89,24 +92,25 @@
 	uint64_t refused = 0;
 	uint64_t failed = 0;
 	uint64_t cancelled = 0;
-	uint64_t upstreamEnds = 0;    ///< Attempts that were at work as the upstream ended.
-	uint64_t suspectsRefused = 0; ///< Requests that came to be refused by a crash here.
+	uint64_t interruptedAttempts = 0; ///< Attempts that were running when the upstream terminated.
+	uint64_t suspectsRefused = 0; ///< Suspect requests that are refused because of crashes of this upstream.
 };
 
+/// An attempt that is queued or running.
 struct Work
 {
 	Submit submit;
-	LinkId link; ///< Invalid once nobody waits for it.
+	LinkId link; ///< Link to reply on. Invalid if no router waits for the answer.
 	TimeUs deadline = 0;
 	TimeUs startedAt = 0;
 	bool forwarded = false;
-	bool abandoned = false;
+	bool cancelled = false;
 	uint32_t parts = 0;
 	uint64_t outputBytes = 0;
-	std::string guardKey; ///< Run-once work only.
+	std::string guardKey; ///< Key in the run-once guard; empty for repeatable work.
 	int status = 200;
 	std::string contentType;
-	std::string buffer; ///< Run-once work only: its answer is passed on whole.
+	std::string buffer; ///< Run-once work only: body so far; the answer is sent when it is complete.
 };
 
 struct AgentCore
@@ -117,15 +121,16 @@
 	RunOnceGuard guard;
 	std::map<std::string, ExposureCredits> credits; ///< By candidate version.
 	std::map<std::string, DriftWatch> drift;        ///< By serving version.
-	std::unordered_map<uint64_t, Work> works;
-	std::unordered_map<std::string, Submit> guardedSubmits; ///< Run-once calls that the guard holds, by key.
+	std::unordered_map<uint64_t, Work> workItems;
+	/// Run-once calls, by key, for which the guard has not yet decided whether they may run.
+	std::unordered_map<std::string, Submit> guardedSubmits;
 	uint64_t nextWork = 1;
-	BillBook bills; ///< Copies, until the router that asked, or this agent in its place, has flushed them.
+	BillTable bills; ///< Copies, until the requesting router has flushed them or this agent does so instead.
 	SuspectBook suspects;
-	uint32_t upstreamLives = 0; ///< How often the upstream has ended.
-	bool upstreamDown = false;  ///< It has ended, and not answered since.
+	uint32_t upstreamIncarnations = 0; ///< Number of times that the upstream has terminated.
+	bool upstreamDown = false;         ///< The upstream has terminated and not answered since.
 	bool stopping = false;
-	bool leaving = false;
+	bool draining = false;
 	AgentStats stats;
 };
 
@@ -137,24 +142,24 @@
 			  AgentActions& _actions);
 void onLinkDown(AgentCore& _core, LinkId _link, TimeUs _now, int64_t _wallMs, AgentActions& _actions);
 
-// What the upstream did.
-void onUpstreamStart(AgentCore& _core, WorkId _work, int _status, const std::string& _contentType,
-					 AgentActions& _actions);
-void onUpstreamPart(AgentCore& _core, WorkId _work, std::string _data, AgentActions& _actions);
-void onUpstreamEnd(AgentCore& _core, WorkId _work, const UpstreamEnd& _end, TimeUs _now, int64_t _wallMs,
-				   AgentActions& _actions);
+// Events of the upstream.
+void onUpstreamAnswerStart(AgentCore& _core, WorkId _work, int _status, const std::string& _contentType,
+						   AgentActions& _actions);
+void onUpstreamAnswerPart(AgentCore& _core, WorkId _work, std::string _data, AgentActions& _actions);
+void onUpstreamAnswerEnd(AgentCore& _core, WorkId _work, const AnswerSummary& _end, TimeUs _now,
+						 int64_t _wallMs, AgentActions& _actions);
 /// How a call to the upstream failed.
 struct UpstreamFailure
 {
-	bool sent = false;  ///< Whether any byte of it could have left.
-	bool ended = false; ///< The upstream takes no connection after it.
+	bool sent = false;         ///< Whether any byte of the call may have been sent.
+	bool upstreamDown = false; ///< Whether the upstream accepts no connection after the failure.
 	std::string detail;
 };
 void onUpstreamFailed(AgentCore& _core, WorkId _work, const UpstreamFailure& _failure, TimeUs _now,
 					  int64_t _wallMs, AgentActions& _actions);
 
-/// Another process told of requests that end upstreams.
-void onSuspects(AgentCore& _core, const Suspects& _news, TimeUs _now);
+/// Applies suspect requests (requests that terminate upstreams) received from another process.
+void onSuspects(AgentCore& _core, const Suspects& _update, TimeUs _now);
 
 // Messages between the members of a run-once group.
 IntentReply onIntent(AgentCore& _core, const Intent& _intent, TimeUs _now, int64_t _wallMs,
@@ -163,26 +168,27 @@
 				   int64_t _wallMs, AgentActions& _actions);
 void onTable(AgentCore& _core, const HomeTable& _table, TimeUs _now, int64_t _wallMs, AgentActions& _actions);
 
-/// @returns Whether the halt was news here.
+/// @returns Whether the halt was not known yet.
 bool onHalt(AgentCore& _core, const Halt& _halt);
 
-/// All ratings of a candidate, as known now. Halts it here if they say so.
-/// @returns What they say.
+/// Judges all ratings of a candidate received so far, and halts it on this agent if too many are bad.
+/// @returns The verdict on the rollout.
 RolloutVerdict onRatings(AgentCore& _core, const std::string& _version, const RatingTally& _tally,
 						 AgentActions& _actions);
 
-/// New ratings of a version that serves. Halts it here if it has turned bad.
-void onDrift(AgentCore& _core, const std::string& _version, const RatingTally& _news, AgentActions& _actions);
+/// Adds new ratings of a serving version, and halts it on this agent if its quality has dropped.
+void onDrift(AgentCore& _core, const std::string& _version, const RatingTally& _ratings,
+			 AgentActions& _actions);
 
-/// @returns Whether this agent is one of the few of its pool that watch a version's ratings for all.
+/// @returns Whether this agent is one of the two of its pool that evaluate a version's ratings for the pool.
 bool watchesRatings(const AgentCore& _core, const std::string& _version);
 
 void tick(AgentCore& _core, TimeUs _now, int64_t _wallMs, AgentActions& _actions);
 
-/// @returns Load to tell the routers.
-Report reportOf(const AgentCore& _core);
+/// @returns The load report for the routers.
+Report loadReport(const AgentCore& _core);
 
-/// @returns Whether a planned stop has nothing left to wait for.
+/// @returns Whether no work, run-once call or unflushed bill is left, so that a planned stop can complete.
 bool isDrained(const AgentCore& _core);
 } // namespace spanplank
 
--- a/include/spanplank/billing.h
+++ b/include/spanplank/billing.h
@@ -1,4 +1,4 @@
-/// Billing ledger: each bill counts once, whoever flushes it and however often.
+/// Billing ledger: each bill is counted once, regardless of which process flushes it and how often.
 #ifndef SPANPLANK_BILLING_H_HEADER_GUARD
 #define SPANPLANK_BILLING_H_HEADER_GUARD
 
@@ -22,20 +22,21 @@
 	double cost = 0.0;
 };
 
-/// A run of sequence numbers, both ends included.
+/// A range of sequence numbers, both ends inclusive.
 struct SeqRange
 {
 	uint64_t first = 0;
 	uint64_t last = 0;
 };
 
-/// What the store keeps for one owner. Written by compare-and-swap only.
+/// The ledger of one owner in the store. Written by compare-and-swap only.
 struct BillingLedger
 {
-	std::string owner;
-	std::vector<SeqRange> counted; ///< Billed or void. Sorted, apart from one another.
-	uint64_t billed = 0;
-	std::map<std::string, std::map<std::string, BillTotal>> totals; ///< Account, then version or service.
+	std::string owner; ///< Process that assigned the sequence numbers.
+	std::vector<SeqRange>
+		counted;         ///< Numbers that are billed or void. Sorted, neither overlapping nor adjacent.
+	uint64_t billed = 0; ///< Number of bills.
+	std::map<std::string, std::map<std::string, BillTotal>> totals; ///< By account, then version or service.
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(BillTotal, requests, promptTokens, outputTokens, cost)
@@ -45,42 +46,42 @@
 /// @returns Whether a sequence number is billed or void.
 bool isCounted(const BillingLedger& _ledger, uint64_t _seq);
 
-/// Adds the bills that are not yet in it. @returns How many were added.
-/// @throws Failure(Internal) if a bill is of another owner.
+/// Adds the bills whose numbers are not counted yet. @returns The number of bills added.
+/// @throws Failure(Internal) if a bill belongs to another owner.
 size_t addBills(BillingLedger& _ledger, absl::Span<const Bill> _bills);
 
-/// Closes sequence numbers under which nothing is to be billed, now or later.
+/// Marks sequence numbers as void: bills with these numbers are not added any more.
 void addVoids(BillingLedger& _ledger, absl::Span<const uint64_t> _seqs);
 
-/// Bills on their way to the store, in one process.
-struct BillBook
+/// Bills and void numbers of one process that are not yet in the ledger.
+struct BillTable
 {
 	std::map<std::string, std::map<uint64_t, Bill>> bills; ///< By owner, then sequence number.
 	std::map<std::string, std::vector<uint64_t>> voids;    ///< By owner.
-	size_t count = 0;
+	size_t count = 0;                                      ///< Number of bills.
 };
 
-/// Keeps a bill until the ledger holds it. The first one under its number stands.
-void keepBill(BillBook& _book, const Bill& _bill);
+/// Retains a bill until the ledger holds it. A second bill with the same number is ignored.
+void retainBill(BillTable& _bills, const Bill& _bill);
 
-/// Marks a number that ended without a bill.
-void keepVoid(BillBook& _book, const std::string& _owner, uint64_t _seq);
+/// Records a sequence number whose request ended without a bill.
+void retainVoid(BillTable& _bills, const std::string& _owner, uint64_t _seq);
 
-/// Drops what the ledger holds. @returns How many bills were dropped.
-size_t dropBills(BillBook& _book, const std::string& _owner, absl::Span<const uint64_t> _seqs);
+/// Removes bills that the ledger holds. @returns The number of bills removed.
+size_t dropBills(BillTable& _bills, const std::string& _owner, absl::Span<const uint64_t> _seqs);
 
-/// What one flush writes for one owner.
+/// Bills and void numbers of one owner that are flushed together.
 struct BillBatch
 {
 	std::vector<Bill> bills;
 	std::vector<uint64_t> voids;
 };
 
-/// @returns All that waits for one owner.
-BillBatch batchOf(const BillBook& _book, const std::string& _owner);
+/// @returns All bills and void numbers that are retained for one owner.
+BillBatch pendingBatch(const BillTable& _bills, const std::string& _owner);
 
-/// Drops a batch that the ledger holds now.
-void dropBatch(BillBook& _book, const std::string& _owner, const BillBatch& _batch);
+/// Removes a batch that the ledger holds. Entries added after the batch was made stay.
+void dropBatch(BillTable& _bills, const std::string& _owner, const BillBatch& _batch);
 } // namespace spanplank
 
 #endif // SPANPLANK_BILLING_H_HEADER_GUARD
--- a/include/spanplank/duty.h
+++ b/include/spanplank/duty.h
@@ -1,10 +1,12 @@
-/// A duty that one router at a time does for all: who may act, under which token, and what the next one does.
+/// A duty that a single router performs at a time on behalf of all routers: election of the holder, fencing
+/// token and hand-over.
 ///
-/// A record in the store, changed only under a condition, names the holder. The first router of the tree
-/// takes it; the position of that write is the holder's token, which therefore rises with each holder and
-/// belongs to one process. Before each report the holder writes to the record what it will report. So a
-/// holder acts only with a young proof that it still holds the duty, and the next one repeats exactly what
-/// may have been reported already. A new holder first waits until the calls of the one before have ended.
+/// A record in the store, written by compare-and-swap, names the holder. The root of the router tree acquires
+/// the duty; the store position of that write is the holder's fencing token, which therefore increases with
+/// each holder and belongs to one process. Before each report the holder writes the report's content to the
+/// record. Thus a holder acts only if it has recently confirmed that it holds the duty, and its successor
+/// repeats exactly what may have been reported already. A new holder first waits until the calls of the
+/// previous one have ended.
 #ifndef SPANPLANK_DUTY_H_HEADER_GUARD
 #define SPANPLANK_DUTY_H_HEADER_GUARD
 
@@ -16,90 +18,93 @@
 
 namespace spanplank
 {
-/// What the store holds of the duty.
+/// The record of the duty in the store.
 struct DutyRecord
 {
-	std::string holder;   ///< Box.
-	uint32_t life = 0;    ///< Of the holder's process.
-	uint64_t era = 0;     ///< Of the store, when it was written.
-	uint64_t window = 0;  ///< The newest of which a report was begun; 0: none.
-	AccountCounts counts; ///< That report.
+	std::string holder;       ///< Box of the holder.
+	uint32_t incarnation = 0; ///< Hash of the holder's incarnation; `life` in the stored record.
+	uint64_t era = 0;         ///< Era of the store when the record was written.
+	uint64_t window = 0;      ///< Newest window for which a report was begun; 0 if there is none.
+	AccountCounts counts;     ///< Content of that report.
 };
 
-/// Who this process is, for the record.
-struct DutySelf
+/// Identity of this process in the record.
+struct DutyIdentity
 {
 	std::string box;
-	uint32_t life = 0;
+	uint32_t incarnation = 0;
 };
 
-struct DutyBounds
+struct DutyTiming
 {
-	TimeUs lease = 3000 * kMsToUs;  ///< Within it calls must not come from one holder, another and the first.
-	TimeUs window = 5000 * kMsToUs; ///< Length of a window.
-	TimeUs late = 10000 * kMsToUs;  ///< After the end of a window its report is of no use.
+	/// A holder waits this long before its first report, so that within it the platform never receives calls
+	/// from one holder, then another one, then the first again.
+	TimeUs lease = 3000 * kMsToUs;
+	TimeUs window = 5000 * kMsToUs;          ///< Length of a window.
+	TimeUs maxReportDelay = 10000 * kMsToUs; ///< A window is not reported later than this after its end.
 };
 
 struct DutyState
 {
-	DutyRecord record;        ///< The newest that is known.
-	uint64_t revision = 0;    ///< Of the record, as a position; 0: there is none.
-	TimeUs changedAt = 0;     ///< When this router learned of that revision.
-	uint64_t token = 0;       ///< 0: this process does not hold the duty.
-	TimeUs takenAt = 0;       ///< When it learned that it holds it.
-	TimeUs provenAt = 0;      ///< When the last write was sent by which it held it.
-	bool reported = false;    ///< The report in the record was taken.
-	TimeUs firstSince = 0;    ///< Since when it has been the first of the tree; 0: it is not.
-	TimeUs retryAt = 0;       ///< No call before.
-	uint64_t firstWindow = 0; ///< Those before may have been reported, with what, is not known.
+	DutyRecord record;      ///< The newest record received.
+	uint64_t revision = 0;  ///< Store position of the record; 0 if there is none.
+	TimeUs changedAt = 0;   ///< When this router received that revision.
+	uint64_t token = 0;     ///< Fencing token; 0 if this process does not hold the duty.
+	TimeUs acquiredAt = 0;  ///< When this process received confirmation that it holds the duty.
+	TimeUs confirmedAt = 0; ///< When the last write that confirmed the holder was sent; 0 if there is none.
+	bool reported = false;  ///< The platform accepted the report in the record.
+	TimeUs rootSince = 0;   ///< Since when this router has been the root of the tree; 0 if it is not.
+	TimeUs retryAt = 0;     ///< No call is made before this time.
+	uint64_t minWindow = 0; ///< Earlier windows may have been reported with unknown content.
 };
 
-enum class DutyMove : uint8_t
+enum class DutyAction : uint8_t
 {
 	Wait,
-	Take,   ///< Write the record as the next holder.
-	Begin,  ///< Write what will be reported of a window.
-	Prove,  ///< Write the record as it is: the proof that this process holds the duty is too old to act by.
-	Report, ///< Send the report that the record holds.
+	Acquire,     ///< Write the record as the new holder.
+	BeginReport, ///< Write the content of a window's report to the record.
+	Confirm,     ///< Write the record unchanged, to confirm that this process still holds the duty.
+	SendReport,  ///< Send the report in the record to the platform.
 };
 
 struct DutyStep
 {
-	DutyMove move = DutyMove::Wait;
-	uint64_t window = 0; ///< Of `Begin`.
+	DutyAction action = DutyAction::Wait;
+	uint64_t window = 0; ///< For `BeginReport`: the window to report.
 };
 
-/// @returns What to do now. @param[in] _wall Time of day.
-DutyStep nextDutyStep(const DutyState& _state, const DutySelf& _self, const DutyBounds& _bounds, TimeUs _wall,
-					  TimeUs _now);
+/// @returns The next action. @param[in] _wall Wall time since 1970. @param[in] _now Monotonic time.
+DutyStep nextDutyStep(const DutyState& _state, const DutyIdentity& _self, const DutyTiming& _timing,
+					  TimeUs _wall, TimeUs _now);
 
-/// This router is the first of the tree and reaches the store, or is not. One that is not does nothing: the
-/// counts of the others do not come to it. It holds the duty until another router has taken it.
-void noteFirst(DutyState& _state, bool _first, TimeUs _now);
+/// Records whether this router is the root of the tree and reaches the store. A router that is not takes no
+/// action, since it does not receive the counts of the others, but holds the duty until another one acquires
+/// it.
+void recordRootStatus(DutyState& _state, bool _isRoot, TimeUs _now);
 
-/// The record was read or heard of.
-void takeDutyRecord(DutyState& _state, const DutySelf& _self, const DutyRecord& _record, uint64_t _revision,
-					TimeUs _now);
+/// Applies a record that was read from the store or received in an update.
+void applyDutyRecord(DutyState& _state, const DutyIdentity& _self, const DutyRecord& _record,
+					 uint64_t _revision, TimeUs _now);
 
-/// A write of the record was done. @param[in] _sentAt When it was sent.
-void noteDutyWritten(DutyState& _state, const DutyRecord& _record, uint64_t _revision, TimeUs _sentAt,
+/// Records a successful write of the record. @param[in] _sentAt When the write was sent.
+void recordDutyWrite(DutyState& _state, const DutyRecord& _record, uint64_t _revision, TimeUs _sentAt,
 					 TimeUs _now);
 
-/// Stops for good under the token in use.
+/// Gives up the current token for good.
 void resignDuty(DutyState& _state, TimeUs _now);
 
-/// A call failed or its answer was lost.
+/// Delays the next call after one that failed or whose answer was lost.
 void postponeDuty(DutyState& _state, TimeUs _now);
 
-/// The store came back from an older copy: what was reported since that copy may be missing in the record.
-void noteDutyReturned(DutyState& _state, const DutyBounds& _bounds, TimeUs _wall);
+/// The store was restored from an older copy: reports made after that copy may be missing from the record.
+void recordDutyStoreRestore(DutyState& _state, const DutyTiming& _timing, TimeUs _wall);
 
-/// From the end of a window until the routers' counts of it have come together.
-constexpr TimeUs kUsageSettle = 2000 * kMsToUs;
-/// For another holder to begin the report of a window that is due, before the duty is taken from it.
-constexpr TimeUs kHolderPatience = 2000 * kMsToUs;
-constexpr TimeUs kFirstFor = 2000 * kMsToUs; ///< Until a new first of the tree counts as such.
-constexpr TimeUs kDutyRetry = 1000 * kMsToUs;
+/// Time after the end of a window for the routers' counts to arrive at the root.
+constexpr TimeUs kUsageCollectDelayUs = 2000 * kMsToUs;
+/// Time that the holder has to begin a report that is due before another router acquires the duty.
+constexpr TimeUs kHolderTimeoutUs = 2000 * kMsToUs;
+constexpr TimeUs kMinRootTimeUs = 2000 * kMsToUs; ///< Time as the root before a router may acquire the duty.
+constexpr TimeUs kDutyRetryDelayUs = 1000 * kMsToUs;
 } // namespace spanplank
 
 #endif // SPANPLANK_DUTY_H_HEADER_GUARD
--- a/include/spanplank/link_messages.h
+++ b/include/spanplank/link_messages.h
@@ -1,5 +1,5 @@
-/// What every link between the system's own processes knows: types of messages, who is at the other end. On
-/// the wire: CBOR (RFC 8949) arrays of [type, body].
+/// Types of the messages on links between the system's own processes, and the identity of a link's peer.
+/// Messages are encoded as CBOR (RFC 8949) arrays of [type, body].
 #ifndef SPANPLANK_LINK_MESSAGES_H_HEADER_GUARD
 #define SPANPLANK_LINK_MESSAGES_H_HEADER_GUARD
 
@@ -14,7 +14,7 @@
 {
 	Heartbeat,
 	Config,
-	ConfigAsk,
+	ConfigRequest,
 	Halts,
 	Submit,
 	CancelAttempt,
@@ -27,25 +27,25 @@
 	Intent,
 	IntentReply,
 	Outcome,
-	RecordsAsk,
+	RecordsRequest,
 	Records,
 	Table,
 	PeerPing,
 	PeerPong,
 	StoreChanges,
-	StoreAsk,
+	StoreRequest,
 	StoreSnapshot,
 	Suspects,
 	PeerRegister,
 	Count
 };
 
-/// Who is at the other end of a link.
+/// The process at the other end of a link.
 struct PeerInfo
 {
 	std::string role;        ///< `router` or `agent`.
-	std::string box;         ///< Name of the box, stable over restarts.
-	std::string incarnation; ///< New at each start.
+	std::string box;         ///< Name of the box, the same after a restart.
+	std::string incarnation; ///< Changes with each start of the process.
 	std::string hall;
 	std::string pool;                  ///< Agents: the pool of upstreams it belongs to.
 	std::vector<std::string> versions; ///< Agents: versions that the upstream has loaded.
--- a/include/spanplank/request_digest.h
+++ b/include/spanplank/request_digest.h
@@ -1,4 +1,5 @@
-/// What a request is known by beyond its own try: the parts that its callers repeat when they send it again.
+/// Digest that identifies a request over its retries: it covers the parts that a caller repeats when it sends
+/// the request again.
 #ifndef SPANPLANK_REQUEST_DIGEST_H_HEADER_GUARD
 #define SPANPLANK_REQUEST_DIGEST_H_HEADER_GUARD
 
@@ -9,9 +10,9 @@
 
 namespace spanplank
 {
-/// The first 128 bits of a SHA-256 over `RequestParts`, each preceded by its length. It needs no key: finding
-/// a request of one account with the digest of another account's takes 2^128 tries, and among 2^32 requests
-/// any two share a digest with a probability of 2^-65.
+/// The first 128 bits of a SHA-256 over `RequestParts`, each preceded by its length. No secret key is needed:
+/// finding a request of one account that has the digest of another account's request takes 2^128 attempts,
+/// and the probability that any two of 2^32 requests share a digest is 2^-65.
 struct RequestDigest
 {
 	uint64_t high = 0;
@@ -28,10 +29,11 @@
 	}
 };
 
-/// Neither the request's id nor its connection is part of it: both are new with each try.
+/// Parts of a request that the digest covers. The request's id and connection are excluded, since both change
+/// with each retry.
 struct RequestParts
 {
-	std::string_view account; ///< Empty: the request came without a key.
+	std::string_view account; ///< Empty if the request has no API key.
 	std::string_view host;
 	std::string_view method;
 	std::string_view target; ///< Path and query.
@@ -41,9 +43,9 @@
 RequestDigest digestOf(const RequestParts& _parts);
 
 /// @returns 32 lower-case hex digits.
-std::string hexOf(const RequestDigest& _digest);
+std::string digestToHex(const RequestDigest& _digest);
 
-/// @returns The digest that `hexOf` wrote; nothing for any other text.
+/// @returns The digest of a text in the format of `digestToHex`, or nothing for any other text.
 std::optional<RequestDigest> digestFromHex(std::string_view _hex);
 } // namespace spanplank
 
--- a/include/spanplank/router_core.h
+++ b/include/spanplank/router_core.h
@@ -186,7 +186,7 @@
 	uint64_t nextBill = 1;
 	uint64_t roundRobin = 0;
 	uint32_t routers = 1; ///< Live routers that share the upstreams, this one included.
-	BillBook bills;
+	BillTable bills;
 	SuspectBook suspects;
 	RouterStats stats;
 };
--- a/include/spanplank/run_once.h
+++ b/include/spanplank/run_once.h
@@ -1,9 +1,9 @@
-/// Run-once guard: a call that may not be repeated runs at most once over a group of agents.
+/// Run-once guard: a non-repeatable call runs at most once in a group of agents.
 ///
-/// A table in the platform's store names the members of the group under an epoch. Each key has a primary and
-/// a successor by rendezvous rank over the members. The primary records an intent at the successor before it
-/// runs a call, so that whoever takes over knows the key; it needs neither clocks nor the store for that.
-/// See docs/design/run-once.md for the argument and its limits.
+/// A table in the platform's store lists the members of the group, with an epoch. Rendezvous hashing over the
+/// members ranks a primary and a successor for each key. The primary records an intent at the successor
+/// before it runs a call, so that the member that takes over has a record of the key. This depends neither on
+/// clocks nor on the store. See docs/design/run-once.md for the argument and its limits.
 #ifndef SPANPLANK_RUN_ONCE_H_HEADER_GUARD
 #define SPANPLANK_RUN_ONCE_H_HEADER_GUARD
 
@@ -29,94 +29,96 @@
 {
 	std::string incarnation;
 	std::string box;
-	uint64_t settledEpoch = 0; ///< Epoch at which it had pulled all other members' records.
+	uint64_t settledEpoch = 0; ///< Latest epoch in which it had pulled the records of all other members.
 };
 
-/// The members of a group, as agreed in the store by compare-and-swap.
+/// The members of a group. Stored in the platform's store and changed by compare-and-swap.
 struct HomeTable
 {
 	std::string pool;
 	uint64_t epoch = 0;
 	std::vector<HomeMember> members;
-	/// Keys born before this wall time (milliseconds since 1970) may have run on members whose records are
-	/// lost. 0: none.
+	/// Keys created before this wall time (milliseconds since 1970) may have run on members whose records are
+	/// lost; 0 if no records were lost.
 	int64_t doubtBeforeMs = 0;
 };
 
-/// Where a call stands.
+/// State of a call. Sent between agents as its number.
 enum class CallState : uint8_t
 {
-	Asking,  ///< The intent is on its way to the successor.
-	Running, ///< Forwarded.
-	Done,    ///< Its answer is known.
-	Doubt,   ///< It may have run; its answer is not known here.
+	IntentPending, ///< The intent was sent to the successor and not answered yet.
+	Running,       ///< The call may run: it is queued or forwarded.
+	Done,          ///< The call has ended and its answer is recorded.
+	InDoubt,       ///< The call may have run; its answer is not known to this member.
 };
 
-/// A whole answer, kept for replay.
+/// A complete answer, retained for replay.
 struct CallAnswer
 {
 	int status = 0;
 	std::string contentType;
 	std::string body;
-	bool unknown = false; ///< The upstream was lost while it ran: nobody knows the answer.
+	/// The answer is not available: the upstream was lost during the call, or the bodies exceed
+	/// `answerBytes`.
+	bool unknown = false;
 };
 
-/// What a member remembers of a key.
+/// A member's record of a key.
 struct CallRecord
 {
 	std::string key; ///< From `callKey`.
 	std::string bodyHash;
 	std::string owner; ///< Incarnation that recorded the intent.
-	CallState state = CallState::Asking;
-	uint64_t ask = 0;   ///< The owner's number of the intent that counts.
-	int64_t seenMs = 0; ///< Wall time of the first sight, for retention.
+	CallState state = CallState::IntentPending;
+	uint64_t ask = 0;   ///< Number of the current intent, assigned by the owner.
+	int64_t seenMs = 0; ///< Wall time in milliseconds since 1970 when the record was created, for retention.
 	CallAnswer answer;
 };
 
-/// Primary to successor: may I run this?
+/// Primary to successor: request to run a call.
 struct Intent
 {
 	std::string key;
 	std::string bodyHash;
 	std::string owner;
-	uint64_t ask = 0; ///< Number of this intent at its owner: a later one for the key makes it void.
-	HomeTable table;  ///< The table under which the primary asks.
+	uint64_t ask = 0; ///< Number of this intent at its owner; a later intent for the key supersedes it.
+	HomeTable table;  ///< The primary's table.
 };
 
 struct IntentReply
 {
 	std::string key;
-	uint64_t ask = 0; ///< Of the intent that it replies to.
+	uint64_t ask = 0; ///< Number of the intent that this replies to.
 	bool granted = false;
-	bool known = false; ///< Refused since the successor has a record: it comes along.
+	bool known = false; ///< Refused because the successor has a record of the key, which is in `record`.
 	CallRecord record;
-	HomeTable table; ///< The replier's, if it is newer; else empty.
+	HomeTable table; ///< The successor's table if it is newer than the primary's; empty otherwise.
 };
 
-/// Primary to successor: how a call ended.
+/// Primary to successor: the result of a call.
 struct Outcome
 {
 	std::string key;
-	uint64_t ask = 0;      ///< Of the intent that it ends; any other one stands.
-	bool released = false; ///< It never ran: forget the intent.
+	uint64_t ask = 0; ///< Number of the intent that this completes; other intents for the key stay valid.
+	bool released = false; ///< The call did not run: the successor removes the intent.
 	CallAnswer answer;
 };
 
-/// Records of one member, from a position of its log on.
+/// Records of one member after a position of its log.
 struct RecordsMessage
 {
-	uint64_t epoch = 0; ///< The sender had adopted this epoch before it read its log.
-	uint64_t upTo = 0;  ///< Log position after these.
+	uint64_t epoch = 0; ///< Epoch of the sender's table when it read its log.
+	uint64_t upTo = 0;  ///< Log position up to which `records` is complete.
 	std::vector<CallRecord> records;
 };
 
 struct RecordsRequest
 {
-	uint64_t epoch = 0;
-	uint64_t from = 0;
+	uint64_t epoch = 0; ///< Epoch of the requester's table.
+	uint64_t from = 0;  ///< Log position up to which the requester has the records.
 };
 
-/// Who waits for an answer: a link and its attempt.
+/// Recipient of an answer: an attempt on a link.
 struct CallWaiter
 {
 	LinkId link;
@@ -128,20 +130,21 @@
 	}
 };
 
-/// A call at the guard of the agent that a router took for its primary.
+/// A call that a router sent to this agent as the primary of its key.
 struct GuardedCall
 {
 	std::string key;
 	std::string bodyHash;
-	std::optional<int64_t> birthMs; ///< Birth that the key carries (UUIDv7, RFC 9562), if any.
+	std::optional<int64_t>
+		keyCreatedMs; ///< Creation time in a UUIDv7 key (RFC 9562), in milliseconds since 1970.
 	CallWaiter waiter;
 };
 
-// Actions of the guard.
+// Actions that the guard returns.
 struct RunCall
 {
 	std::string key;
-	CallWaiter first; ///< The waiter whose call runs.
+	CallWaiter first; ///< The waiter whose call is run; later ones with the same key receive a copy.
 };
 struct ReplayAnswer
 {
@@ -155,7 +158,7 @@
 };
 struct SendIntent
 {
-	std::string to; ///< Incarnation.
+	std::string to; ///< Incarnation of the successor.
 	Intent intent;
 };
 struct SendOutcome
@@ -163,7 +166,7 @@
 	std::string to;
 	Outcome outcome;
 };
-struct AskRecords
+struct RequestRecords
 {
 	std::string to;
 	RecordsRequest request;
@@ -174,17 +177,17 @@
 };
 
 using GuardAction =
-	std::variant<RunCall, ReplayAnswer, RefuseCall, SendIntent, SendOutcome, AskRecords, TableAdopted>;
+	std::variant<RunCall, ReplayAnswer, RefuseCall, SendIntent, SendOutcome, RequestRecords, TableAdopted>;
 using GuardActions = std::vector<GuardAction>;
 
 struct RunOnceLimits
 {
-	size_t maxKeys = kRunOnceMaxKeys;
-	size_t answerBytes = kRunOnceAnswerBytes;
+	size_t maxKeys = kRunOnceMaxKeys;         ///< Keys with a record.
+	size_t answerBytes = kRunOnceAnswerBytes; ///< Total size of the bodies that are retained for replay.
 	int64_t retentionMs = kRunOnceRetentionMs;
 	TimeUs intentTimeoutUs = 500 * kMsToUs;
-	/// Off only to show what fails without it: runs without asking the successor.
-	bool askSuccessor = true;
+	/// Records an intent at the successor before a call runs. Tests disable it to show the failure.
+	bool replicateIntent = true;
 };
 
 struct RunOnceStats
@@ -196,97 +199,104 @@
 	uint64_t inDoubt = 0;
 };
 
-/// The guard of one member. Plain data: the functions below are its only writers.
+/// The guard's state on one member. Modified only by the functions below, except for `self`, `limits`,
+/// `resigned` and the pool's name in `table`, which the agent sets.
 struct RunOnceGuard
 {
 	struct Entry
 	{
 		CallRecord record;
 		std::vector<CallWaiter> waiters;
-		TimeUs askedAt = 0;
-		std::string askedOf;
-		uint64_t logIndex = 0; ///< Position of its latest change in the log.
+		TimeUs intentSentAt = 0;
+		std::string successor;
+		uint64_t logIndex = 0; ///< Log position of the latest change; 0 if the entry is not in the log.
 	};
 
-	std::string self;
+	std::string self; ///< Incarnation of this member.
 	RunOnceLimits limits;
 	HomeTable table;
 	std::unordered_map<std::string, Entry> entries;
-	std::map<uint64_t, std::string> log; ///< Latest change of each key by position.
+	std::map<uint64_t, std::string> log; ///< Keys by the position of their latest change.
 	uint64_t logEnd = 0;
-	uint64_t nextAsk = 1;
-	std::map<std::string, uint64_t> pulledEpoch; ///< By member: epoch of its latest whole records.
-	std::map<std::string, uint64_t> pulledUpTo;  ///< By member: position up to which its log is held.
-	size_t answerBytes = 0;
-	bool resigned = false; ///< It has asked to leave: it runs and grants nothing any more.
+	uint64_t nextIntent = 1;
+	std::map<std::string, uint64_t> pulledEpoch; ///< By member: epoch of the latest records pulled from it.
+	std::map<std::string, uint64_t> pulledUpTo; ///< By member: log position up to which its records are held.
+	size_t answerBytes = 0;                     ///< Total size of the bodies held.
+	bool resigned = false; ///< The member leaves the group: it neither runs nor grants calls any more.
 	RunOnceStats stats;
 };
 
-/// @returns The identity of a call: account, service and the caller's key, hashed.
+/// @returns The identity of a call: the first 128 bits, in hex, of a SHA-256 over account, service and the
+/// caller's key.
 std::string callKey(std::string_view _account, std::string_view _service, std::string_view _key);
 
-/// @returns The birth of a UUIDv7 key in milliseconds since 1970, or nothing for any other key.
-std::optional<int64_t> keyBirthMs(std::string_view _key);
+/// @returns The creation time of a UUIDv7 key in milliseconds since 1970, or nothing for any other key.
+std::optional<int64_t> keyCreatedMs(std::string_view _key);
 
-/// @returns Indices of members from first rank to last for a key.
+/// @returns Indices of the members, ordered by their rank for a key.
 std::vector<size_t> rankMembers(absl::Span<const HomeMember> _members, std::string_view _key);
 
 /// @returns Whether an incarnation is a member of the table.
 bool isMember(const HomeTable& _table, std::string_view _incarnation);
 
-/// @returns Whether the guard is a member that holds all records of its epoch.
-bool isSettled(const RunOnceGuard& _guard);
+/// @returns Whether the guard is a member and has pulled the other members' records in its table's epoch.
+bool isSynced(const RunOnceGuard& _guard);
 
-/// A call arrived. @param[in] _now monotonic time. @param[in] _wallMs wall time, for births and retention.
-void begin(RunOnceGuard& _guard, const GuardedCall& _call, TimeUs _now, int64_t _wallMs,
-		   GuardActions& _actions);
+/// Handles a call that arrived: runs it, joins it to one with the same key, replays its answer or refuses it.
+/// @param[in] _now Monotonic time.
+/// @param[in] _wallMs Wall time in milliseconds since 1970, for creation times of keys and retention.
+void beginCall(RunOnceGuard& _guard, const GuardedCall& _call, TimeUs _now, int64_t _wallMs,
+			   GuardActions& _actions);
 
-/// A forwarded call ended.
-void finish(RunOnceGuard& _guard, const std::string& _key, const CallAnswer& _answer, GuardActions& _actions);
+/// Records the answer of a forwarded call and sends it to all waiters.
+void finishCall(RunOnceGuard& _guard, const std::string& _key, const CallAnswer& _answer,
+				GuardActions& _actions);
 
-/// A call that was to run was not forwarded after all (it was refused before any byte left).
-void release(RunOnceGuard& _guard, const std::string& _key, const Refusal& _refusal, GuardActions& _actions);
+/// Removes a granted call that was not forwarded because it was refused before any byte was sent.
+void releaseCall(RunOnceGuard& _guard, const std::string& _key, const Refusal& _refusal,
+				 GuardActions& _actions);
 
-/// The successor's side of an intent. @returns The reply for the asker.
+/// Handles an intent on the successor. @returns The reply to the primary.
 IntentReply handleIntent(RunOnceGuard& _guard, const Intent& _intent, TimeUs _now, int64_t _wallMs,
 						 GuardActions& _actions);
 void handleIntentReply(RunOnceGuard& _guard, const std::string& _from, const IntentReply& _reply, TimeUs _now,
 					   GuardActions& _actions);
 void handleOutcome(RunOnceGuard& _guard, const Outcome& _outcome);
 
-/// Adopts a table if its epoch is higher. Calls under way under the old one are asked anew or refused.
+/// Adopts a table if its epoch is higher. Calls whose intent is pending under the old one are refused.
 void adoptTable(RunOnceGuard& _guard, const HomeTable& _table, TimeUs _now, GuardActions& _actions);
 
 RecordsMessage recordsFor(const RunOnceGuard& _guard, const RecordsRequest& _request);
 void handleRecords(RunOnceGuard& _guard, const std::string& _from, const RecordsMessage& _records);
 
-/// Times out intents, asks for records that are missing, forgets keys past retention.
+/// Times out intents, requests missing records and removes keys whose retention has ended.
 void tick(RunOnceGuard& _guard, TimeUs _now, int64_t _wallMs, GuardActions& _actions);
 
-/// What a member sees of the others, to propose a change of the table.
-struct MemberSight
+/// A member's view of another one, as input for a change of the table.
+struct MemberStatus
 {
 	std::string incarnation;
 	std::string box;
-	bool linked = false;
-	TimeUs lostFor = 0; ///< How long there has been no link to it.
-	/// Proof that this incarnation is dead: its box runs another one, or was taken off the list.
-	bool gone = false;
+	bool linked = false;       ///< There is an open link to it.
+	TimeUs unreachableFor = 0; ///< Time without a link to it.
+	/// This incarnation has certainly terminated: its box runs another one or was removed from the box list.
+	bool confirmedDead = false;
 };
 
-struct ProposeInput
+struct ProposalInput
 {
 	HomeMember self;
 	bool leaving = false;
-	TimeUs deadAfterUs = 2000 * kMsToUs;
+	TimeUs suspectAfterUs = 2000 * kMsToUs;
 	int64_t wallMs = 0;
 };
 
-/// @returns The table that a member wants in the store next, or nothing if it is content.
-/// @remarks One removal or one joiner at a time. A removal is safe if all survivors hold all records; then a
-/// suspicion is enough. Any other removal needs proof of death, and raises `doubtBeforeMs`.
+/// @returns The table that a member should write to the store next, or nothing if no change is needed.
+/// @remarks A change removes or adds a single member. A removal is safe if all remaining members hold all
+/// records; then a suspicion suffices. Any other removal requires that the member has certainly terminated,
+/// and raises `doubtBeforeMs`.
 std::optional<HomeTable> proposeTable(const RunOnceGuard& _guard, const HomeTable& _current,
-									  const ProposeInput& _input, absl::Span<const MemberSight> _sights);
+									  const ProposalInput& _input, absl::Span<const MemberStatus> _statuses);
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(HomeMember, incarnation, box, settledEpoch)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(HomeTable, pool, epoch, members, doubtBeforeMs)
--- a/src/adapters/agent_daemon.cpp
+++ b/src/adapters/agent_daemon.cpp
@@ -27,9 +27,9 @@
 	init.admission.slots = _settings.slots;
 	init.admission.kvTokens = _settings.kvTokens;
 	init.admission.maxQueued = _settings.maxQueued;
-	init.runOnce.askSuccessor = _settings.askSuccessor;
+	init.runOnce.replicateIntent = _settings.askSuccessor;
 	init.grantSize = _settings.grantSize;
-	init.judgeTwice = _settings.judgeTwice;
+	init.recheckAtStart = _settings.judgeTwice;
 	init.boundExposure = _settings.boundExposure;
 	return init;
 }
@@ -45,18 +45,18 @@
 		UpstreamHandlers handlers;
 		handlers.onStart = [&](int _status, const std::string& _contentType) {
 			AgentActions started;
-			onUpstreamStart(_agent.core, work, _status, _contentType, started);
+			onUpstreamAnswerStart(_agent.core, work, _status, _contentType, started);
 			perform(_agent, started);
 		};
 		handlers.onPart = [&](std::string _data) {
 			AgentActions parts;
-			onUpstreamPart(_agent.core, work, std::move(_data), parts);
+			onUpstreamAnswerPart(_agent.core, work, std::move(_data), parts);
 			perform(_agent, parts);
 		};
-		const UpstreamEnd end =
+		const AnswerSummary end =
 			forwardWork(_agent.upstream, _forward.submit, _agent.settings.upstreamTimeoutMs, handlers,
 						_agent.calls[work.idx]);
-		onUpstreamEnd(_agent.core, work, end, monotonicNow(), wallNowMs(), actions);
+		onUpstreamAnswerEnd(_agent.core, work, end, monotonicNow(), wallNowMs(), actions);
 	}
 	catch (const HttpFailure& failure)
 	{
@@ -66,7 +66,7 @@
 		onUpstreamFailed(_agent.core, work, how, monotonicNow(), wallNowMs(), actions);
 		if (ended)
 		{
-			noteEvent(_agent.node, "upstream_ended", hexOf(digestOf(_forward.submit)),
+			noteEvent(_agent.node, "upstream_ended", digestToHex(digestOf(_forward.submit)),
 					  fmt::format("request {} of {}: {}", _forward.submit.request, _forward.submit.account,
 								  _agent.core.stats.suspectsRefused > refused ? "refused from now on"
 																			  : "suspected"));
@@ -130,9 +130,10 @@
 	{
 		agent.node.hub->send(agent.node.hub->linkTo(_action.to), MessageType::Outcome, _action.outcome);
 	}
-	void operator()(const AskRecords& _action) const
+	void operator()(const RequestRecords& _action) const
 	{
-		agent.node.hub->send(agent.node.hub->linkTo(_action.to), MessageType::RecordsAsk, _action.request);
+		agent.node.hub->send(agent.node.hub->linkTo(_action.to), MessageType::RecordsRequest,
+							 _action.request);
 	}
 	void operator()(const TableAdopted& _action) const
 	{
@@ -147,7 +148,7 @@
 
 Heartbeat heartbeatOf(Agent& _agent)
 {
-	return {_agent.core.config.revision, _agent.core.leaving, _agent.core.stopping,
+	return {_agent.core.config.revision, _agent.core.draining, _agent.core.stopping,
 			stamp(_agent.node.timeline.clock, wallNow())};
 }
 
@@ -167,7 +168,7 @@
 	hub.send(_link, MessageType::Halts, halts);
 	if (_peer.role == "router")
 	{
-		hub.send(_link, MessageType::Report, reportOf(_agent.core));
+		hub.send(_link, MessageType::Report, loadReport(_agent.core));
 	}
 }
 
@@ -177,7 +178,7 @@
 	const ApplyResult result = apply(_agent.core.config, _update);
 	if (result == ApplyResult::Gap)
 	{
-		_agent.node.hub->send(_from, MessageType::ConfigAsk, ConfigAsk{before});
+		_agent.node.hub->send(_from, MessageType::ConfigRequest, ConfigAsk{before});
 		return;
 	}
 	if (_agent.core.config.revision != before)
@@ -209,7 +210,7 @@
 	hear(_agent.node.timeline.clock, _heartbeat.hybridTime);
 	if (_heartbeat.revision > _agent.core.config.revision)
 	{
-		_agent.node.hub->send(_from, MessageType::ConfigAsk, ConfigAsk{_agent.core.config.revision});
+		_agent.node.hub->send(_from, MessageType::ConfigRequest, ConfigAsk{_agent.core.config.revision});
 	}
 }
 
@@ -228,7 +229,7 @@
 	case MessageType::Config:
 		onConfig(_agent, _from, _message.body.get<ConfigUpdate>());
 		break;
-	case MessageType::ConfigAsk:
+	case MessageType::ConfigRequest:
 		hub.send(_from, MessageType::Config,
 				 updateSince(_agent.core.config, _message.body.get<ConfigAsk>().since));
 		break;
@@ -261,7 +262,7 @@
 	case MessageType::Outcome:
 		handleOutcome(_agent.core.guard, _message.body.get<Outcome>());
 		break;
-	case MessageType::RecordsAsk:
+	case MessageType::RecordsRequest:
 		hub.send(_from, MessageType::Records,
 				 recordsFor(_agent.core.guard, _message.body.get<RecordsRequest>()));
 		break;
@@ -299,7 +300,7 @@
 	}
 	for (const std::string& owner : orphaned)
 	{
-		const BillBatch batch = batchOf(_agent.core.bills, owner);
+		const BillBatch batch = pendingBatch(_agent.core.bills, owner);
 		if (flushBills(_agent.node, owner, batch))
 		{
 			dropBatch(_agent.core.bills, owner, batch);
@@ -333,10 +334,10 @@
 	for (const BoxEntry& entry : _agent.node.boxes)
 	{
 		const bool self = entry.box == _agent.settings.common.box;
-		if (self && entry.state == "leaving" && !_agent.core.leaving)
+		if (self && entry.state == "leaving" && !_agent.core.draining)
 		{
 			noteEvent(_agent.node, "leaving", entry.box, "the box list says so");
-			_agent.core.leaving = true;
+			_agent.core.draining = true;
 			_agent.node.hub->sendAll(MessageType::Heartbeat, heartbeatOf(_agent));
 		}
 		// One link for each pair: the box that comes first by name dials.
@@ -387,7 +388,7 @@
 /// Tells the routers of the load, if it has changed.
 void sendReport(Agent& _agent)
 {
-	const json report(reportOf(_agent.core));
+	const json report(loadReport(_agent.core));
 	const uint64_t submitted = _agent.core.stats.submitted;
 	if (report == _agent.lastReport && submitted == _agent.reportedSubmits)
 	{
@@ -442,7 +443,7 @@
 			AgentActions actions;
 			tick(_agent.core, monotonicNow(), wallNowMs(), actions);
 			perform(_agent, actions);
-			const bool idle = _agent.core.works.empty() && _agent.core.guardedSubmits.empty();
+			const bool idle = _agent.core.workItems.empty() && _agent.core.guardedSubmits.empty();
 			sleepFor(idle ? kIdleTickMs : kTickMs);
 		}
 	});
@@ -462,7 +463,7 @@
 {
 	const TimeUs until = monotonicNow() + TimeUs(_agent.settings.common.drainMs) * kMsToUs;
 	constexpr uint32_t kPollMs = 20;
-	_agent.core.leaving = true;
+	_agent.core.draining = true;
 	_agent.node.hub->sendAll(MessageType::Heartbeat, heartbeatOf(_agent));
 	while (isHome(_agent) && monotonicNow() < until)
 	{
@@ -475,7 +476,7 @@
 		sleepFor(kPollMs);
 	}
 	noteEvent(_agent.node, "drained", _agent.settings.common.box,
-			  fmt::format("{} cut, {} bills kept", _agent.core.works.size(), _agent.core.bills.count));
+			  fmt::format("{} cut, {} bills kept", _agent.core.workItems.size(), _agent.core.bills.count));
 	sleepFor(kPollMs); // Lets the last frames leave.
 }
 } // namespace
--- a/src/adapters/agent_homes.cpp
+++ b/src/adapters/agent_homes.cpp
@@ -27,14 +27,14 @@
 	return table;
 }
 
-std::vector<MemberSight> sightsOf(Agent& _agent, const HomeTable& _table)
+std::vector<MemberStatus> sightsOf(Agent& _agent, const HomeTable& _table)
 {
 	LinkHub& hub = *_agent.node.hub;
 	const TimeUs now = monotonicNow();
-	std::vector<MemberSight> sights;
+	std::vector<MemberStatus> sights;
 	for (const HomeMember& member : _table.members)
 	{
-		MemberSight sight;
+		MemberStatus sight;
 		sight.incarnation = member.incarnation;
 		sight.box = member.box;
 		sight.linked =
@@ -46,38 +46,39 @@
 		else
 		{
 			const TimeUs lostAt = _agent.memberLostAt.emplace(member.incarnation, now).first->second;
-			sight.lostFor = now - lostAt;
+			sight.unreachableFor = now - lostAt;
 		}
 		for (const LinkId link : hub.openLinks())
 		{
 			const PeerInfo* peer = hub.peer(link);
-			sight.gone = sight.gone || (peer->box == member.box && peer->incarnation != member.incarnation);
+			sight.confirmedDead =
+				sight.confirmedDead || (peer->box == member.box && peer->incarnation != member.incarnation);
 		}
 		sights.push_back(sight);
 	}
 	return sights;
 }
 
-ProposeInput proposeInput(const Agent& _agent)
+ProposalInput proposeInput(const Agent& _agent)
 {
-	ProposeInput input;
+	ProposalInput input;
 	input.self = {_agent.node.incarnation, _agent.settings.common.box, 0};
-	input.leaving = _agent.core.leaving;
+	input.leaving = _agent.core.draining;
 	input.wallMs = wallNowMs();
 	return input;
 }
 
 /// @returns Whether nothing is to be done about the group: all members are linked and settled, none leaves.
-bool isQuiet(const Agent& _agent, const HomeTable& _table, const std::vector<MemberSight>& _sights)
+bool isQuiet(const Agent& _agent, const HomeTable& _table, const std::vector<MemberStatus>& _sights)
 {
-	bool quiet = _table.epoch != 0 && !_agent.core.leaving && isHome(_agent);
+	bool quiet = _table.epoch != 0 && !_agent.core.draining && isHome(_agent);
 	for (const HomeMember& member : _table.members)
 	{
 		quiet = quiet && member.settledEpoch == _table.epoch;
 	}
-	for (const MemberSight& sight : _sights)
+	for (const MemberStatus& sight : _sights)
 	{
-		quiet = quiet && sight.linked && !sight.gone;
+		quiet = quiet && sight.linked && !sight.confirmedDead;
 	}
 	return quiet;
 }
@@ -91,7 +92,7 @@
 void stepHomes(Agent& _agent)
 {
 	const HomeTable& held = _agent.core.guard.table;
-	const bool resigned = _agent.core.leaving && held.epoch != 0 && !isHome(_agent);
+	const bool resigned = _agent.core.draining && held.epoch != 0 && !isHome(_agent);
 	if (resigned || isQuiet(_agent, held, sightsOf(_agent, held)))
 	{
 		return;
@@ -107,7 +108,7 @@
 	{
 		return;
 	}
-	_agent.core.guard.resigned = _agent.core.leaving; // Before the write: its answer may be lost.
+	_agent.core.guard.resigned = _agent.core.draining; // Before the write: its answer may be lost.
 	const CasResult result =
 		casStore(_agent.node.store, tableKey(_agent), json(*next).dump(), revision, revision);
 	if (result == CasResult::Done)
--- a/src/adapters/router_daemon.cpp
+++ b/src/adapters/router_daemon.cpp
@@ -124,7 +124,7 @@
 	LinkHub& hub = *_router.node.hub;
 	if (_heartbeat.revision > _router.core.config.revision)
 	{
-		hub.send(_from, MessageType::ConfigAsk, ConfigAsk{_router.core.config.revision});
+		hub.send(_from, MessageType::ConfigRequest, ConfigAsk{_router.core.config.revision});
 	}
 	else if (_heartbeat.revision < _router.core.config.revision)
 	{
@@ -151,7 +151,7 @@
 	case MessageType::Config:
 		takeConfig(_router, _message.body.get<ConfigUpdate>());
 		break;
-	case MessageType::ConfigAsk:
+	case MessageType::ConfigRequest:
 		_router.node.hub->send(_from, MessageType::Config,
 							   updateSince(core.config, _message.body.get<ConfigAsk>().since));
 		break;
@@ -239,7 +239,7 @@
 bool flushOwnBills(Router& _router)
 {
 	const std::string& owner = _router.node.incarnation;
-	const BillBatch batch = batchOf(_router.core.bills, owner);
+	const BillBatch batch = pendingBatch(_router.core.bills, owner);
 	if (batch.bills.empty() && batch.voids.empty())
 	{
 		return true;
--- a/src/adapters/settings.cpp
+++ b/src/adapters/settings.cpp
@@ -365,7 +365,7 @@
 	reader.address("duties", settings.duties, false);
 	uint32_t leaseMs = uint32_t(settings.dutyBounds.lease / kMsToUs);
 	uint32_t windowMs = uint32_t(settings.dutyBounds.window / kMsToUs);
-	uint32_t lateMs = uint32_t(settings.dutyBounds.late / kMsToUs);
+	uint32_t lateMs = uint32_t(settings.dutyBounds.maxReportDelay / kMsToUs);
 	reader.number("dutyLeaseMs", leaseMs, 100, kHourMs);
 	reader.seconds("usageWindowSeconds", windowMs, 0.1, 3600.0);
 	reader.seconds("usageLateSeconds", lateMs, 0.1, 3600.0);
--- a/src/adapters/settings_p.h
+++ b/src/adapters/settings_p.h
@@ -74,7 +74,7 @@
 	/// What the box gives this router: how many others may follow it.
 	BoxCapacity capacity = {1.0, 1000.0};
 	Endpoint duties; ///< Where the platform takes the calls of duties; port 0: there are none.
-	DutyBounds dutyBounds;
+	DutyTiming dutyBounds;
 	ColdBounds coldBounds; ///< How far above its rate a cold upstream may get requests.
 	Policies policies;
 };
--- a/src/adapters/upstream_client.cpp
+++ b/src/adapters/upstream_client.cpp
@@ -45,7 +45,7 @@
 	return request;
 }
 
-void readUsage(const json& _answer, UpstreamEnd& _end)
+void readUsage(const json& _answer, AnswerSummary& _end)
 {
 	if (!_answer.is_object() || !_answer.contains("usage") || !_answer["usage"].is_object())
 	{
@@ -58,7 +58,7 @@
 }
 
 /// The last event of a stream that holds the usage.
-void readStreamUsage(const std::string& _tail, UpstreamEnd& _end)
+void readStreamUsage(const std::string& _tail, AnswerSummary& _end)
 {
 	const size_t usage = _tail.rfind("\"usage\"");
 	if (usage == std::string::npos)
@@ -87,8 +87,8 @@
 }
 } // namespace
 
-UpstreamEnd forwardWork(HttpClient& _client, const Submit& _submit, uint32_t _timeoutMs,
-						const UpstreamHandlers& _handlers, HttpCancel& _cancel)
+AnswerSummary forwardWork(HttpClient& _client, const Submit& _submit, uint32_t _timeoutMs,
+						  const UpstreamHandlers& _handlers, HttpCancel& _cancel)
 {
 	HttpCall request = _submit.service.empty() ? engineCall(_submit) : serviceCall(_submit);
 	request.timeoutMs = _timeoutMs;
@@ -118,7 +118,7 @@
 	{
 		_handlers.onStart(response.status, contentTypeOf(response));
 	}
-	UpstreamEnd end;
+	AnswerSummary end;
 	end.seconds = double(monotonicNow() - begin) * 1e-6;
 	if (_submit.service.empty())
 	{
--- a/src/adapters/upstream_client_p.h
+++ b/src/adapters/upstream_client_p.h
@@ -16,8 +16,8 @@
 /// Sends one piece of work and passes its answer on as it comes.
 /// @returns Tokens and confidence as the engine reports them.
 /// @throws HttpFailure
-UpstreamEnd forwardWork(HttpClient& _client, const Submit& _submit, uint32_t _timeoutMs,
-						const UpstreamHandlers& _handlers, HttpCancel& _cancel);
+AnswerSummary forwardWork(HttpClient& _client, const Submit& _submit, uint32_t _timeoutMs,
+						  const UpstreamHandlers& _handlers, HttpCancel& _cancel);
 } // namespace spanplank
 
 #endif // SPANPLANK_UPSTREAM_CLIENT_P_H_HEADER_GUARD
--- a/src/core/agent_core.cpp
+++ b/src/core/agent_core.cpp
@@ -10,17 +10,17 @@
 constexpr uint32_t kStoppingRetryMs = 200;
 constexpr uint32_t kBillsFullRetryMs = 5000;
 constexpr uint32_t kExposureRetryMs = 250;
-constexpr uint32_t kLateRetryMs = 1000;
+constexpr uint32_t kLateWorkRetryMs = 1000;
 
-void drainGuard(AgentCore& _core, GuardActions& _guardActions, TimeUs _now, int64_t _wallMs,
-				AgentActions& _actions);
+void applyGuardActions(AgentCore& _core, GuardActions& _guardActions, TimeUs _now, int64_t _wallMs,
+					   AgentActions& _actions);
 
-bool hasText(const std::vector<std::string>& _list, std::string_view _text)
+bool contains(const std::vector<std::string>& _list, std::string_view _text)
 {
 	return std::find(_list.begin(), _list.end(), _text) != _list.end();
 }
 
-const std::string& whatOf(const Submit& _submit)
+const std::string& billedName(const Submit& _submit)
 {
 	return _submit.service.empty() ? _submit.version : _submit.service;
 }
@@ -37,7 +37,7 @@
 	_actions.push_back(ReplyRefused{_to, message});
 }
 
-bool mayRunHere(const AgentCore& _core, const Submit& _submit, Refusal& _why)
+bool isServedHere(const AgentCore& _core, const Submit& _submit, Refusal& _why)
 {
 	if (!_submit.service.empty())
 	{
@@ -46,7 +46,7 @@
 			_why = {ErrorCode::NotAllowed, RunState::No, 0, "the account may not use the service"};
 			return false;
 		}
-		if (!hasText(_core.init.self.services, _submit.service))
+		if (!contains(_core.init.self.services, _submit.service))
 		{
 			_why = {ErrorCode::UnknownService, RunState::No, 0, "the service is not here"};
 			return false;
@@ -63,7 +63,7 @@
 		_why = {ErrorCode::NotAllowed, RunState::No, 0, "the account may not use the version"};
 		return false;
 	}
-	if (!hasText(_core.init.self.versions, _submit.version))
+	if (!contains(_core.init.self.versions, _submit.version))
 	{
 		_why = {ErrorCode::NoUpstream, RunState::No, 0, "the version is not loaded here"};
 		return false;
@@ -72,7 +72,8 @@
 }
 
 /// @returns Why work must not begin now, or nothing if it may. Judged by what this agent knows.
-std::optional<Refusal> judge(const AgentCore& _core, const Submit& _submit, TimeUs _deadline, TimeUs _now)
+std::optional<Refusal> checkSubmit(const AgentCore& _core, const Submit& _submit, TimeUs _deadline,
+								   TimeUs _now)
 {
 	if (_core.stopping)
 	{
@@ -96,7 +97,7 @@
 		const RequestDigest digest = digestOf(_submit);
 		// Of all agents two may run one that is due.
 		const bool mayTry = standingOf(_core.suspects, digest, _now) == SuspectStanding::Due &&
-							watchesRatings(_core, hexOf(digest));
+							watchesRatings(_core, digestToHex(digest));
 		std::optional<Refusal> refusal = refusalOf(_core.suspects, digest, mayTry, _now);
 		if (refusal)
 		{
@@ -104,7 +105,7 @@
 		}
 	}
 	Refusal why;
-	if (!mayRunHere(_core, _submit, why))
+	if (!isServedHere(_core, _submit, why))
 	{
 		return why;
 	}
@@ -118,7 +119,7 @@
 }
 
 /// Pays for one answer of a candidate. Serving versions are free.
-bool payExposure(AgentCore& _core, const Submit& _submit)
+bool consumeExposure(AgentCore& _core, const Submit& _submit)
 {
 	if (!_core.init.boundExposure || !_submit.service.empty() || !isCandidate(_core, _submit.version))
 	{
@@ -128,43 +129,43 @@
 	return spendCredit(_core.credits[_submit.version], generation);
 }
 
-void dropWork(AgentCore& _core, WorkId _id, uint64_t _tokens, double _seconds)
+void removeWork(AgentCore& _core, WorkId _id, uint64_t _tokens, double _seconds)
 {
 	release(_core.queue, _id, _tokens, _seconds);
-	_core.works.erase(_id.idx);
+	_core.workItems.erase(_id.idx);
 }
 
 void refuseWork(AgentCore& _core, WorkId _id, const Refusal& _refusal, TimeUs _now, int64_t _wallMs,
 				AgentActions& _actions)
 {
-	const Work work = _core.works.at(_id.idx);
-	dropWork(_core, _id, 0, 0.0);
+	const Work work = _core.workItems.at(_id.idx);
+	removeWork(_core, _id, 0, 0.0);
 	if (work.guardKey.empty())
 	{
 		refuse(_core, work.link, work.submit.attempt, _refusal, _actions);
 		return;
 	}
 	GuardActions guardActions;
-	release(_core.guard, work.guardKey, _refusal, guardActions);
-	drainGuard(_core, guardActions, _now, _wallMs, _actions);
+	releaseCall(_core.guard, work.guardKey, _refusal, guardActions);
+	applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
 }
 
 Refusal lateRefusal()
 {
-	return {ErrorCode::Overloaded, RunState::No, kLateRetryMs, "it would not be done in time any more"};
+	return {ErrorCode::Overloaded, RunState::No, kLateWorkRetryMs, "it would not be done in time any more"};
 }
 
 /// The last gate: judged again, paid for, forwarded.
-void startWork(AgentCore& _core, WorkId _id, bool _judgeAgain, TimeUs _now, int64_t _wallMs,
+void startWork(AgentCore& _core, WorkId _id, bool _recheck, TimeUs _now, int64_t _wallMs,
 			   AgentActions& _actions)
 {
-	Work& work = _core.works.at(_id.idx);
+	Work& work = _core.workItems.at(_id.idx);
 	std::optional<Refusal> refusal;
-	if (_judgeAgain && _core.init.judgeTwice)
+	if (_recheck && _core.init.recheckAtStart)
 	{
-		refusal = judge(_core, work.submit, work.deadline, _now);
+		refusal = checkSubmit(_core, work.submit, work.deadline, _now);
 	}
-	if (!refusal && !payExposure(_core, work.submit))
+	if (!refusal && !consumeExposure(_core, work.submit))
 	{
 		refusal = Refusal{ErrorCode::ExposureSpent, RunState::No, kExposureRetryMs,
 						  "the candidate may give no more answers until ratings are in"};
@@ -180,7 +181,7 @@
 	_actions.push_back(ForwardWork{_id, work.submit});
 }
 
-void startWaiting(AgentCore& _core, TimeUs _now, int64_t _wallMs, AgentActions& _actions)
+void startQueuedWork(AgentCore& _core, TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
 	bool started = true;
 	while (started)
@@ -217,7 +218,7 @@
 {
 	const WorkId id{_core.nextWork++};
 	const TimeUs deadline = _now + TimeUs(_submit.deadlineMs) * kMsToUs;
-	Work& work = _core.works[id.idx];
+	Work& work = _core.workItems[id.idx];
 	work.submit = _submit;
 	work.link = _from;
 	work.deadline = deadline;
@@ -240,8 +241,8 @@
 }
 
 /// The answer of a run-once call, sent whole to one waiter.
-void sendWhole(const CallWaiter& _waiter, const CallAnswer& _answer, const Bill& _bill,
-			   AgentActions& _actions)
+void sendCompleteAnswer(const CallWaiter& _waiter, const CallAnswer& _answer, const Bill& _bill,
+						AgentActions& _actions)
 {
 	_actions.push_back(ReplyStart{_waiter.link, {_waiter.attempt, _answer.status, _answer.contentType}});
 	_actions.push_back(ReplyPart{_waiter.link, {_waiter.attempt, 0, _answer.body}});
@@ -250,23 +251,23 @@
 
 void runGuarded(AgentCore& _core, const RunCall& _run, TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
-	const auto held = _core.guardedSubmits.find(_run.key);
-	const Submit submit = held->second;
-	_core.guardedSubmits.erase(held);
+	const auto submitted = _core.guardedSubmits.find(_run.key);
+	const Submit submit = submitted->second;
+	_core.guardedSubmits.erase(submitted);
 	const TimeUs deadline = _now + TimeUs(submit.deadlineMs) * kMsToUs;
-	if (const std::optional<Refusal> refusal = judge(_core, submit, deadline, _now))
+	if (const std::optional<Refusal> refusal = checkSubmit(_core, submit, deadline, _now))
 	{
 		GuardActions guardActions;
-		release(_core.guard, _run.key, *refusal, guardActions);
-		drainGuard(_core, guardActions, _now, _wallMs, _actions);
+		releaseCall(_core.guard, _run.key, *refusal, guardActions);
+		applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
 		return;
 	}
 	admitWork(_core, _run.first.link, submit, _run.key, _now, _wallMs, _actions);
 }
 
 /// Turns the guard's actions into the agent's.
-void drainGuard(AgentCore& _core, GuardActions& _guardActions, TimeUs _now, int64_t _wallMs,
-				AgentActions& _actions)
+void applyGuardActions(AgentCore& _core, GuardActions& _guardActions, TimeUs _now, int64_t _wallMs,
+					   AgentActions& _actions)
 {
 	const GuardActions drained = std::move(_guardActions);
 	_guardActions.clear();
@@ -278,7 +279,7 @@
 		}
 		else if (const auto* replay = std::get_if<ReplayAnswer>(&action))
 		{
-			sendWhole(replay->waiter, replay->answer, Bill{}, _actions);
+			sendCompleteAnswer(replay->waiter, replay->answer, Bill{}, _actions);
 		}
 		else if (const auto* refused = std::get_if<RefuseCall>(&action))
 		{
@@ -292,9 +293,9 @@
 		{
 			_actions.push_back(*outcome);
 		}
-		else if (const auto* ask = std::get_if<AskRecords>(&action))
+		else if (const auto* request = std::get_if<RequestRecords>(&action))
 		{
-			_actions.push_back(*ask);
+			_actions.push_back(*request);
 		}
 		else if (const auto* adopted = std::get_if<TableAdopted>(&action))
 		{
@@ -303,8 +304,8 @@
 	}
 	for (auto it = _core.guardedSubmits.begin(); it != _core.guardedSubmits.end();)
 	{
-		const bool asking = _core.guard.entries.count(it->first) != 0;
-		it = asking ? std::next(it) : _core.guardedSubmits.erase(it);
+		const bool isPending = _core.guard.entries.count(it->first) != 0;
+		it = isPending ? std::next(it) : _core.guardedSubmits.erase(it);
 	}
 }
 
@@ -315,12 +316,12 @@
 	GuardedCall guarded;
 	guarded.key = _submit.callId;
 	guarded.bodyHash = fmt::format("{:016x}", stableHash(body));
-	guarded.birthMs = keyBirthMs(_submit.key);
+	guarded.keyCreatedMs = keyCreatedMs(_submit.key);
 	guarded.waiter = {_from, _submit.attempt};
 	_core.guardedSubmits.emplace(guarded.key, _submit);
 	GuardActions guardActions;
-	begin(_core.guard, guarded, _now, _wallMs, guardActions);
-	drainGuard(_core, guardActions, _now, _wallMs, _actions);
+	beginCall(_core.guard, guarded, _now, _wallMs, guardActions);
+	applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
 }
 
 Bill makeBill(AgentCore& _core, const Work& _work, uint32_t _promptTokens, uint32_t _outputTokens)
@@ -330,13 +331,13 @@
 	bill.seq = _work.submit.billSeq;
 	bill.request = _work.submit.request;
 	bill.account = _work.submit.account;
-	bill.what = whatOf(_work.submit);
+	bill.what = billedName(_work.submit);
 	bill.promptTokens = _promptTokens;
 	bill.outputTokens = _outputTokens;
 	const auto version = _core.config.versions.find(_work.submit.version);
 	const double perKilo = version == _core.config.versions.end() ? 0.0 : version->second.costPerKiloToken;
 	bill.cost = double(_promptTokens + _outputTokens) / 1000.0 * perKilo;
-	keepBill(_core.bills, bill);
+	retainBill(_core.bills, bill);
 	return bill;
 }
 
@@ -345,20 +346,20 @@
 				   TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
 	GuardActions guardActions;
-	finish(_core.guard, _key, _answer, guardActions);
+	finishCall(_core.guard, _key, _answer, guardActions);
 	bool billed = false;
 	for (const GuardAction& action : guardActions)
 	{
 		const auto* replay = std::get_if<ReplayAnswer>(&action);
 		if (replay != nullptr && !billed)
 		{
-			sendWhole(replay->waiter, replay->answer, _bill, _actions);
+			sendCompleteAnswer(replay->waiter, replay->answer, _bill, _actions);
 			billed = true;
 		}
 		else
 		{
 			GuardActions one{action};
-			drainGuard(_core, one, _now, _wallMs, _actions);
+			applyGuardActions(_core, one, _now, _wallMs, _actions);
 		}
 	}
 }
@@ -380,7 +381,7 @@
 {
 	++_core.stats.submitted;
 	const TimeUs deadline = _now + TimeUs(_submit.deadlineMs) * kMsToUs;
-	if (const std::optional<Refusal> refusal = judge(_core, _submit, deadline, _now))
+	if (const std::optional<Refusal> refusal = checkSubmit(_core, _submit, deadline, _now))
 	{
 		refuse(_core, _from, _submit.attempt, *refusal, _actions);
 		return;
@@ -396,7 +397,7 @@
 void onCancel(AgentCore& _core, LinkId _from, uint64_t _attempt, TimeUs _now, int64_t _wallMs,
 			  AgentActions& _actions)
 {
-	for (auto& [idx, work] : _core.works)
+	for (auto& [idx, work] : _core.workItems)
 	{
 		const bool match = work.link == _from && work.submit.attempt == _attempt && work.guardKey.empty();
 		if (!match)
@@ -407,12 +408,12 @@
 		const WorkId id{idx};
 		if (work.forwarded)
 		{
-			work.abandoned = true;
+			work.cancelled = true;
 			_actions.push_back(CancelWork{id});
 			return;
 		}
-		dropWork(_core, id, 0, 0.0);
-		startWaiting(_core, _now, _wallMs, _actions);
+		removeWork(_core, id, 0, 0.0);
+		startQueuedWork(_core, _now, _wallMs, _actions);
 		return;
 	}
 }
@@ -420,7 +421,7 @@
 void onLinkDown(AgentCore& _core, LinkId _link, TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
 	std::vector<uint64_t> attempts;
-	for (const auto& [idx, work] : _core.works)
+	for (const auto& [idx, work] : _core.workItems)
 	{
 		if (work.link == _link && work.guardKey.empty())
 		{
@@ -433,27 +434,27 @@
 	}
 }
 
-void onUpstreamStart(AgentCore& _core, WorkId _work, int _status, const std::string& _contentType,
-					 AgentActions& _actions)
+void onUpstreamAnswerStart(AgentCore& _core, WorkId _work, int _status, const std::string& _contentType,
+						   AgentActions& _actions)
 {
-	const auto found = _core.works.find(_work.idx);
-	if (found == _core.works.end())
+	const auto found = _core.workItems.find(_work.idx);
+	if (found == _core.workItems.end())
 	{
 		return;
 	}
 	Work& work = found->second;
 	work.status = _status;
 	work.contentType = _contentType;
-	if (work.guardKey.empty() && !work.abandoned)
+	if (work.guardKey.empty() && !work.cancelled)
 	{
 		_actions.push_back(ReplyStart{work.link, {work.submit.attempt, _status, _contentType}});
 	}
 }
 
-void onUpstreamPart(AgentCore& _core, WorkId _work, std::string _data, AgentActions& _actions)
+void onUpstreamAnswerPart(AgentCore& _core, WorkId _work, std::string _data, AgentActions& _actions)
 {
-	const auto found = _core.works.find(_work.idx);
-	if (found == _core.works.end())
+	const auto found = _core.workItems.find(_work.idx);
+	if (found == _core.workItems.end())
 	{
 		return;
 	}
@@ -464,18 +465,18 @@
 		work.buffer.append(_data);
 		return;
 	}
-	if (!work.abandoned)
+	if (!work.cancelled)
 	{
 		_actions.push_back(ReplyPart{work.link, {work.submit.attempt, work.parts, std::move(_data)}});
 		++work.parts;
 	}
 }
 
-void onUpstreamEnd(AgentCore& _core, WorkId _work, const UpstreamEnd& _end, TimeUs _now, int64_t _wallMs,
-				   AgentActions& _actions)
+void onUpstreamAnswerEnd(AgentCore& _core, WorkId _work, const AnswerSummary& _end, TimeUs _now,
+						 int64_t _wallMs, AgentActions& _actions)
 {
-	const auto found = _core.works.find(_work.idx);
-	if (found == _core.works.end())
+	const auto found = _core.workItems.find(_work.idx);
+	if (found == _core.workItems.end())
 	{
 		return;
 	}
@@ -483,34 +484,34 @@
 	_core.upstreamDown = false;
 	noteAnswered(_core.suspects, digestOf(found->second.submit), _now);
 	const Work work = std::move(found->second);
-	dropWork(_core, _work, uint64_t(_end.promptTokens) + _end.outputTokens, _end.seconds);
-	const bool billable = work.status < 500 && !work.abandoned; // An answer that nobody gets is not billed.
+	removeWork(_core, _work, uint64_t(_end.promptTokens) + _end.outputTokens, _end.seconds);
+	const bool billable = work.status < 500 && !work.cancelled; // An answer that nobody gets is not billed.
 	const Bill bill = billable ? makeBill(_core, work, _end.promptTokens, _end.outputTokens) : Bill{};
 	if (!work.guardKey.empty())
 	{
 		const CallAnswer answer{work.status, work.contentType, work.buffer, false};
 		finishGuarded(_core, work.guardKey, answer, bill, _now, _wallMs, _actions);
 	}
-	else if (!work.abandoned)
+	else if (!work.cancelled)
 	{
 		_actions.push_back(
 			ReplyEnd{work.link, {work.submit.attempt, work.parts, _end.confidence, false, bill}});
 	}
-	startWaiting(_core, _now, _wallMs, _actions);
+	startQueuedWork(_core, _now, _wallMs, _actions);
 }
 
-void onSuspects(AgentCore& _core, const Suspects& _news, TimeUs _now)
+void onSuspects(AgentCore& _core, const Suspects& _update, TimeUs _now)
 {
-	takeSuspectNews(_core.suspects, _news.suspects, _now);
+	takeSuspectNews(_core.suspects, _update.suspects, _now);
 }
 
 namespace
 {
 /// The upstream ended while it was at work on a request.
-void noteUpstreamEnd(AgentCore& _core, const Work& _work, TimeUs _now)
+void recordUpstreamCrash(AgentCore& _core, const Work& _work, TimeUs _now)
 {
-	++_core.stats.upstreamEnds;
-	_core.upstreamLives += _core.upstreamDown ? 0 : 1;
+	++_core.stats.interruptedAttempts;
+	_core.upstreamIncarnations += _core.upstreamDown ? 0 : 1;
 	_core.upstreamDown = true;
 	const RequestDigest digest = digestOf(_work.submit);
 	if (standingOf(_core.suspects, digest, _now) == SuspectStanding::Due)
@@ -518,7 +519,7 @@
 		beginTry(_core.suspects, digest);
 	}
 	const auto members = uint32_t(_core.guard.table.members.size());
-	const SeenCrash crash{keyOf(_core.init.self.incarnation, _core.upstreamLives), _now,
+	const SeenCrash crash{keyOf(_core.init.self.incarnation, _core.upstreamIncarnations), _now,
 						  _now - _work.startedAt, std::max(1u, members), 0};
 	const std::string label = fmt::format("{} {}", _work.submit.account, _work.submit.path);
 	_core.stats.suspectsRefused += noteCrash(_core.suspects, digest, label, crash, _now).size();
@@ -528,35 +529,35 @@
 void onUpstreamFailed(AgentCore& _core, WorkId _work, const UpstreamFailure& _failure, TimeUs _now,
 					  int64_t _wallMs, AgentActions& _actions)
 {
-	const auto found = _core.works.find(_work.idx);
-	if (found == _core.works.end())
+	const auto found = _core.workItems.find(_work.idx);
+	if (found == _core.workItems.end())
 	{
 		return;
 	}
 	++_core.stats.failed;
 	const Refusal refusal{ErrorCode::UpstreamFailed, _failure.sent ? RunState::Unknown : RunState::No, 0,
 						  _failure.detail};
-	if (_failure.sent && _failure.ended)
+	if (_failure.sent && _failure.upstreamDown)
 	{
-		noteUpstreamEnd(_core, found->second, _now);
+		recordUpstreamCrash(_core, found->second, _now);
 	}
 	if (!_failure.sent)
 	{
 		refuseWork(_core, _work, refusal, _now, _wallMs, _actions);
-		startWaiting(_core, _now, _wallMs, _actions);
+		startQueuedWork(_core, _now, _wallMs, _actions);
 		return;
 	}
 	const Work work = std::move(found->second);
-	dropWork(_core, _work, 0, 0.0);
+	removeWork(_core, _work, 0, 0.0);
 	if (!work.guardKey.empty())
 	{
 		finishGuarded(_core, work.guardKey, CallAnswer{0, "", "", true}, Bill{}, _now, _wallMs, _actions);
 	}
-	else if (!work.abandoned)
+	else if (!work.cancelled)
 	{
 		refuse(_core, work.link, work.submit.attempt, refusal, _actions);
 	}
-	startWaiting(_core, _now, _wallMs, _actions);
+	startQueuedWork(_core, _now, _wallMs, _actions);
 }
 
 IntentReply onIntent(AgentCore& _core, const Intent& _intent, TimeUs _now, int64_t _wallMs,
@@ -564,7 +565,7 @@
 {
 	GuardActions guardActions;
 	IntentReply reply = handleIntent(_core.guard, _intent, _now, _wallMs, guardActions);
-	drainGuard(_core, guardActions, _now, _wallMs, _actions);
+	applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
 	return reply;
 }
 
@@ -573,14 +574,14 @@
 {
 	GuardActions guardActions;
 	handleIntentReply(_core.guard, _from, _reply, _now, guardActions);
-	drainGuard(_core, guardActions, _now, _wallMs, _actions);
+	applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
 }
 
 void onTable(AgentCore& _core, const HomeTable& _table, TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
 	GuardActions guardActions;
 	adoptTable(_core.guard, _table, _now, guardActions);
-	drainGuard(_core, guardActions, _now, _wallMs, _actions);
+	applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
 }
 
 bool onHalt(AgentCore& _core, const Halt& _halt)
@@ -607,7 +608,8 @@
 	return verdict;
 }
 
-void onDrift(AgentCore& _core, const std::string& _version, const RatingTally& _news, AgentActions& _actions)
+void onDrift(AgentCore& _core, const std::string& _version, const RatingTally& _ratings,
+			 AgentActions& _actions)
 {
 	const auto version = _core.config.versions.find(_version);
 	if (version == _core.config.versions.end())
@@ -615,7 +617,7 @@
 		return;
 	}
 	DriftWatch& watch = _core.drift[_version];
-	if (!observe(watch, _news, version->second.badRate, version->second.haltRate))
+	if (!observe(watch, _ratings, version->second.badRate, version->second.haltRate))
 	{
 		return;
 	}
@@ -645,7 +647,7 @@
 void tick(AgentCore& _core, TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
 	std::vector<uint64_t> late;
-	for (const auto& [idx, work] : _core.works)
+	for (const auto& [idx, work] : _core.workItems)
 	{
 		if (!work.forwarded && _now >= work.deadline)
 		{
@@ -660,18 +662,18 @@
 	}
 	GuardActions guardActions;
 	tick(_core.guard, _now, _wallMs, guardActions);
-	drainGuard(_core, guardActions, _now, _wallMs, _actions);
-	startWaiting(_core, _now, _wallMs, _actions);
+	applyGuardActions(_core, guardActions, _now, _wallMs, _actions);
+	startQueuedWork(_core, _now, _wallMs, _actions);
 }
 
-Report reportOf(const AgentCore& _core)
+Report loadReport(const AgentCore& _core)
 {
 	Report report;
 	report.running = uint32_t(_core.queue.running.size());
 	report.queued = uint32_t(_core.queue.waiting.size());
 	report.slots = _core.queue.limits.slots;
 	report.secondsPerToken = _core.queue.secondsPerToken;
-	for (const auto& [idx, work] : _core.works)
+	for (const auto& [idx, work] : _core.workItems)
 	{
 		report.prefillBacklog += work.forwarded ? 0 : work.submit.promptTokens;
 	}
@@ -681,6 +683,6 @@
 
 bool isDrained(const AgentCore& _core)
 {
-	return _core.works.empty() && _core.guardedSubmits.empty() && _core.bills.count == 0;
+	return _core.workItems.empty() && _core.guardedSubmits.empty() && _core.bills.count == 0;
 }
 } // namespace spanplank
--- a/src/core/billing.cpp
+++ b/src/core/billing.cpp
@@ -78,23 +78,23 @@
 	}
 }
 
-void keepBill(BillBook& _book, const Bill& _bill)
+void retainBill(BillTable& _bills, const Bill& _bill)
 {
-	if (_bill.seq != 0 && _book.bills[_bill.owner].emplace(_bill.seq, _bill).second)
+	if (_bill.seq != 0 && _bills.bills[_bill.owner].emplace(_bill.seq, _bill).second)
 	{
-		++_book.count;
+		++_bills.count;
 	}
 }
 
-void keepVoid(BillBook& _book, const std::string& _owner, uint64_t _seq)
+void retainVoid(BillTable& _bills, const std::string& _owner, uint64_t _seq)
 {
-	_book.voids[_owner].push_back(_seq);
+	_bills.voids[_owner].push_back(_seq);
 }
 
-size_t dropBills(BillBook& _book, const std::string& _owner, absl::Span<const uint64_t> _seqs)
+size_t dropBills(BillTable& _bills, const std::string& _owner, absl::Span<const uint64_t> _seqs)
 {
-	const auto owned = _book.bills.find(_owner);
-	if (owned == _book.bills.end())
+	const auto owned = _bills.bills.find(_owner);
+	if (owned == _bills.bills.end())
 	{
 		return 0;
 	}
@@ -105,32 +105,32 @@
 	}
 	if (owned->second.empty())
 	{
-		_book.bills.erase(owned);
+		_bills.bills.erase(owned);
 	}
-	_book.count -= dropped;
+	_bills.count -= dropped;
 	return dropped;
 }
 
-BillBatch batchOf(const BillBook& _book, const std::string& _owner)
+BillBatch pendingBatch(const BillTable& _bills, const std::string& _owner)
 {
 	BillBatch batch;
-	const auto owned = _book.bills.find(_owner);
-	if (owned != _book.bills.end())
+	const auto owned = _bills.bills.find(_owner);
+	if (owned != _bills.bills.end())
 	{
 		for (const auto& [seq, bill] : owned->second)
 		{
 			batch.bills.push_back(bill);
 		}
 	}
-	const auto voids = _book.voids.find(_owner);
-	if (voids != _book.voids.end())
+	const auto voids = _bills.voids.find(_owner);
+	if (voids != _bills.voids.end())
 	{
 		batch.voids = voids->second;
 	}
 	return batch;
 }
 
-void dropBatch(BillBook& _book, const std::string& _owner, const BillBatch& _batch)
+void dropBatch(BillTable& _bills, const std::string& _owner, const BillBatch& _batch)
 {
 	std::vector<uint64_t> seqs;
 	seqs.reserve(_batch.bills.size());
@@ -138,16 +138,16 @@
 	{
 		seqs.push_back(bill.seq);
 	}
-	dropBills(_book, _owner, seqs);
-	const auto voids = _book.voids.find(_owner);
-	if (voids == _book.voids.end())
+	dropBills(_bills, _owner, seqs);
+	const auto voids = _bills.voids.find(_owner);
+	if (voids == _bills.voids.end())
 	{
 		return;
 	}
 	voids->second.erase(voids->second.begin(), voids->second.begin() + std::ptrdiff_t(_batch.voids.size()));
 	if (voids->second.empty())
 	{
-		_book.voids.erase(voids);
+		_bills.voids.erase(voids);
 	}
 }
 } // namespace spanplank
--- a/src/core/request_digest.cpp
+++ b/src/core/request_digest.cpp
@@ -11,26 +11,26 @@
 namespace
 {
 constexpr size_t kHexDigits = 32;
-constexpr size_t kBytesOfHalf = 8;
-constexpr unsigned kBitsOfByte = 8;
+constexpr size_t kHalfBytes = 8;
+constexpr unsigned kBitsPerByte = 8;
 
 void addPart(EVP_MD_CTX* _context, std::string_view _part)
 {
-	unsigned char length[kBytesOfHalf];
-	for (size_t ii = 0; ii < kBytesOfHalf; ++ii)
+	unsigned char length[kHalfBytes];
+	for (size_t ii = 0; ii < kHalfBytes; ++ii)
 	{
-		length[ii] = static_cast<unsigned char>(_part.size() >> (ii * kBitsOfByte));
+		length[ii] = static_cast<unsigned char>(_part.size() >> (ii * kBitsPerByte));
 	}
 	EVP_DigestUpdate(_context, length, sizeof(length));
 	EVP_DigestUpdate(_context, _part.data(), _part.size());
 }
 
-uint64_t halfOf(const unsigned char* _bytes)
+uint64_t readHalf(const unsigned char* _bytes)
 {
 	uint64_t half = 0;
-	for (size_t ii = 0; ii < kBytesOfHalf; ++ii)
+	for (size_t ii = 0; ii < kHalfBytes; ++ii)
 	{
-		half = half << kBitsOfByte | _bytes[ii];
+		half = half << kBitsPerByte | _bytes[ii];
 	}
 	return half;
 }
@@ -50,10 +50,10 @@
 	}
 	unsigned char bytes[EVP_MAX_MD_SIZE];
 	EVP_DigestFinal_ex(context.get(), bytes, nullptr);
-	return {halfOf(bytes), halfOf(bytes + kBytesOfHalf)};
+	return {readHalf(bytes), readHalf(bytes + kHalfBytes)};
 }
 
-std::string hexOf(const RequestDigest& _digest)
+std::string digestToHex(const RequestDigest& _digest)
 {
 	return fmt::format("{:016x}{:016x}", _digest.high, _digest.low);
 }
--- a/src/core/router_core.cpp
+++ b/src/core/router_core.cpp
@@ -49,7 +49,7 @@
 	const bool mayBeTold = isRunOnce(_core, _request) && _request.mayHaveRun;
 	if (_request.billSeq != 0 && !_request.billed && !mayBeTold)
 	{
-		keepVoid(_core.bills, _core.init.incarnation, _request.billSeq);
+		retainVoid(_core.bills, _core.init.incarnation, _request.billSeq);
 	}
 	_request.billSeq = 0;
 	_request.billed = false;
@@ -513,7 +513,7 @@
 		return;
 	}
 	const SessionToken token =
-		openSession(_request.caller.session, _core.init.sessionKeys, _request.account, _wallMs);
+		verifySession(_request.caller.session, _core.init.sessionKeys, _request.account, _wallMs);
 	const auto version = _core.config.versions.find(token.version);
 	const bool same =
 		version != _core.config.versions.end() && version->second.generation == token.generation;
@@ -819,7 +819,7 @@
 					  false, _now, _actions);
 		return;
 	}
-	keepBill(_core.bills, _end.bill);
+	retainBill(_core.bills, _end.bill);
 	request->billed = _end.bill.seq != 0;
 	request->cost += _end.bill.cost;
 	if (!isLastStep(*request) && !satisfies(_core, *request, _end))
--- a/src/core/run_once.cpp
+++ b/src/core/run_once.cpp
@@ -22,12 +22,12 @@
 	return kNoMember;
 }
 
-Refusal homeChanging(const char* _why)
+Refusal homeChangingRefusal(const char* _why)
 {
 	return Refusal{ErrorCode::HomeChanging, RunState::No, kHomeChangeRetryMs, _why};
 }
 
-Refusal inDoubt()
+Refusal inDoubtRefusal()
 {
 	return Refusal{ErrorCode::InDoubt, RunState::Unknown, 0, "a call with this key may have run"};
 }
@@ -52,7 +52,7 @@
 	_guard.log[_entry.logIndex] = _entry.record.key;
 }
 
-void keepAnswer(RunOnceGuard& _guard, Entry& _entry, CallAnswer _answer)
+void storeAnswer(RunOnceGuard& _guard, Entry& _entry, CallAnswer _answer)
 {
 	const size_t size = _answer.body.size();
 	if (_guard.answerBytes + size > _guard.limits.answerBytes)
@@ -98,7 +98,7 @@
 }
 
 /// Answers a call whose key has a record already.
-void answerKnown(RunOnceGuard& _guard, Entry& _entry, const GuardedCall& _call, GuardActions& _actions)
+void handleRecordedCall(RunOnceGuard& _guard, Entry& _entry, const GuardedCall& _call, GuardActions& _actions)
 {
 	if (_entry.record.bodyHash != _call.bodyHash)
 	{
@@ -109,7 +109,7 @@
 	}
 	switch (_entry.record.state)
 	{
-	case CallState::Asking:
+	case CallState::IntentPending:
 	case CallState::Running:
 		++_guard.stats.joined;
 		_entry.waiters.push_back(_call.waiter);
@@ -117,42 +117,43 @@
 	case CallState::Done:
 		if (_entry.record.answer.unknown)
 		{
-			refuse(_guard, _call.waiter, inDoubt(), _actions);
+			refuse(_guard, _call.waiter, inDoubtRefusal(), _actions);
 			break;
 		}
 		++_guard.stats.replayed;
 		_actions.push_back(ReplayAnswer{_call.waiter, _entry.record.answer});
 		break;
-	case CallState::Doubt:
-		refuse(_guard, _call.waiter, inDoubt(), _actions);
+	case CallState::InDoubt:
+		refuse(_guard, _call.waiter, inDoubtRefusal(), _actions);
 		break;
 	}
 }
 
 /// @returns Why a key without record must not run now, or nothing if it may.
-std::optional<Refusal> whyNot(const RunOnceGuard& _guard, const GuardedCall& _call, int64_t _wallMs)
+std::optional<Refusal> refusalFor(const RunOnceGuard& _guard, const GuardedCall& _call, int64_t _wallMs)
 {
-	if (_call.birthMs && *_call.birthMs > _wallMs + kClockSkewMs)
+	if (_call.keyCreatedMs && *_call.keyCreatedMs > _wallMs + kClockSkewMs)
 	{
 		return Refusal{ErrorCode::BadRequest, RunState::No, 0, "the key was born in the future"};
 	}
 	if (!isPrimary(_guard, _call.key))
 	{
-		return homeChanging("this agent is not the home of the key");
+		return homeChangingRefusal("this agent is not the home of the key");
 	}
-	if (!isSettled(_guard) || _guard.resigned)
+	if (!isSynced(_guard) || _guard.resigned)
 	{
-		return homeChanging("the home is taking over");
+		return homeChangingRefusal("the home is taking over");
 	}
 	if (_guard.entries.size() >= _guard.limits.maxKeys)
 	{
 		return Refusal{ErrorCode::Overloaded, RunState::No, 60000, "no room to remember another key"};
 	}
-	const bool fresh = _call.birthMs && *_call.birthMs - kClockSkewMs > _guard.table.doubtBeforeMs;
-	const bool doubtOver = _wallMs > _guard.table.doubtBeforeMs + _guard.limits.retentionMs;
-	if (_guard.table.doubtBeforeMs > 0 && !fresh && !doubtOver)
+	const bool createdAfterLoss =
+		_call.keyCreatedMs && *_call.keyCreatedMs - kClockSkewMs > _guard.table.doubtBeforeMs;
+	const bool doubtExpired = _wallMs > _guard.table.doubtBeforeMs + _guard.limits.retentionMs;
+	if (_guard.table.doubtBeforeMs > 0 && !createdAfterLoss && !doubtExpired)
 	{
-		return inDoubt();
+		return inDoubtRefusal();
 	}
 	return std::nullopt;
 }
@@ -176,19 +177,19 @@
 }
 
 /// Gives up all intents that are on their way; none of their calls has run.
-void dropAsking(RunOnceGuard& _guard, TimeUs _askedBefore, const char* _why, GuardActions& _actions)
+void cancelPendingIntents(RunOnceGuard& _guard, TimeUs _sentBefore, const char* _why, GuardActions& _actions)
 {
-	std::vector<std::string> dropped;
+	std::vector<std::string> cancelled;
 	for (auto& [key, entry] : _guard.entries)
 	{
-		if (entry.record.state == CallState::Asking && entry.askedAt <= _askedBefore)
+		if (entry.record.state == CallState::IntentPending && entry.intentSentAt <= _sentBefore)
 		{
-			refuseWaiters(_guard, entry, homeChanging(_why), _actions);
-			_actions.push_back(SendOutcome{entry.askedOf, Outcome{key, entry.record.ask, true, {}}});
-			dropped.push_back(key);
+			refuseWaiters(_guard, entry, homeChangingRefusal(_why), _actions);
+			_actions.push_back(SendOutcome{entry.successor, Outcome{key, entry.record.ask, true, {}}});
+			cancelled.push_back(key);
 		}
 	}
-	for (const std::string& key : dropped)
+	for (const std::string& key : cancelled)
 	{
 		eraseEntry(_guard, key);
 	}
@@ -203,8 +204,8 @@
 	}
 	Entry& entry = _guard.entries[_record.key];
 	const bool isNew = entry.record.key.empty();
-	const bool better = _record.state == CallState::Done && entry.record.state == CallState::Doubt;
-	if (!isNew && !better)
+	const bool hasAnswer = _record.state == CallState::Done && entry.record.state == CallState::InDoubt;
+	if (!isNew && !hasAnswer)
 	{
 		return;
 	}
@@ -213,10 +214,10 @@
 	entry.record.answer = {};
 	if (_record.state == CallState::Done)
 	{
-		keepAnswer(_guard, entry, answer);
+		storeAnswer(_guard, entry, answer);
 		return;
 	}
-	entry.record.state = CallState::Doubt;
+	entry.record.state = CallState::InDoubt;
 	appendLog(_guard, entry);
 }
 } // namespace
@@ -231,7 +232,7 @@
 	return sha256Hex(text).substr(0, 32);
 }
 
-std::optional<int64_t> keyBirthMs(std::string_view _key)
+std::optional<int64_t> keyCreatedMs(std::string_view _key)
 {
 	constexpr size_t kUuidSize = 36;
 	constexpr size_t kVersionAt = 14;
@@ -281,7 +282,7 @@
 	return memberIndex(_table, _incarnation) != kNoMember;
 }
 
-bool isSettled(const RunOnceGuard& _guard)
+bool isSynced(const RunOnceGuard& _guard)
 {
 	if (!isMember(_guard.table, _guard.self))
 	{
@@ -290,8 +291,8 @@
 	for (const HomeMember& member : _guard.table.members)
 	{
 		const auto pulled = _guard.pulledEpoch.find(member.incarnation);
-		const bool whole = pulled != _guard.pulledEpoch.end() && pulled->second >= _guard.table.epoch;
-		if (member.incarnation != _guard.self && !whole)
+		const bool isCurrent = pulled != _guard.pulledEpoch.end() && pulled->second >= _guard.table.epoch;
+		if (member.incarnation != _guard.self && !isCurrent)
 		{
 			return false;
 		}
@@ -299,35 +300,37 @@
 	return true;
 }
 
-void begin(RunOnceGuard& _guard, const GuardedCall& _call, TimeUs _now, int64_t _wallMs,
-		   GuardActions& _actions)
+void beginCall(RunOnceGuard& _guard, const GuardedCall& _call, TimeUs _now, int64_t _wallMs,
+			   GuardActions& _actions)
 {
 	const auto known = _guard.entries.find(_call.key);
 	if (known != _guard.entries.end())
 	{
-		answerKnown(_guard, known->second, _call, _actions);
+		handleRecordedCall(_guard, known->second, _call, _actions);
 		return;
 	}
-	if (const std::optional<Refusal> refusal = whyNot(_guard, _call, _wallMs))
+	if (const std::optional<Refusal> refusal = refusalFor(_guard, _call, _wallMs))
 	{
 		refuse(_guard, _call.waiter, *refusal, _actions);
 		return;
 	}
 	Entry& entry = _guard.entries[_call.key];
-	entry.record = {_call.key, _call.bodyHash, _guard.self, CallState::Asking, _guard.nextAsk++, _wallMs, {}};
+	entry.record = {_call.key,           _call.bodyHash, _guard.self, CallState::IntentPending,
+					_guard.nextIntent++, _wallMs,        {}};
 	entry.waiters.push_back(_call.waiter);
-	entry.askedAt = _now;
-	entry.askedOf = successorOf(_guard, _call.key);
-	if (entry.askedOf.empty() || !_guard.limits.askSuccessor)
+	entry.intentSentAt = _now;
+	entry.successor = successorOf(_guard, _call.key);
+	if (entry.successor.empty() || !_guard.limits.replicateIntent)
 	{
 		startRun(_guard, entry, _actions);
 		return;
 	}
 	_actions.push_back(SendIntent{
-		entry.askedOf, Intent{_call.key, _call.bodyHash, _guard.self, entry.record.ask, _guard.table}});
+		entry.successor, Intent{_call.key, _call.bodyHash, _guard.self, entry.record.ask, _guard.table}});
 }
 
-void finish(RunOnceGuard& _guard, const std::string& _key, const CallAnswer& _answer, GuardActions& _actions)
+void finishCall(RunOnceGuard& _guard, const std::string& _key, const CallAnswer& _answer,
+				GuardActions& _actions)
 {
 	const auto found = _guard.entries.find(_key);
 	if (found == _guard.entries.end() || found->second.record.state != CallState::Running)
@@ -335,11 +338,11 @@
 		return;
 	}
 	Entry& entry = found->second;
-	if (!entry.askedOf.empty())
+	if (!entry.successor.empty())
 	{
-		_actions.push_back(SendOutcome{entry.askedOf, Outcome{_key, entry.record.ask, false, _answer}});
+		_actions.push_back(SendOutcome{entry.successor, Outcome{_key, entry.record.ask, false, _answer}});
 	}
-	keepAnswer(_guard, entry, _answer);
+	storeAnswer(_guard, entry, _answer);
 	const std::vector<CallWaiter> waiters = std::move(entry.waiters);
 	entry.waiters.clear();
 	for (const CallWaiter& waiter : waiters)
@@ -356,7 +359,8 @@
 	}
 }
 
-void release(RunOnceGuard& _guard, const std::string& _key, const Refusal& _refusal, GuardActions& _actions)
+void releaseCall(RunOnceGuard& _guard, const std::string& _key, const Refusal& _refusal,
+				 GuardActions& _actions)
 {
 	const auto found = _guard.entries.find(_key);
 	if (found == _guard.entries.end() || found->second.record.state != CallState::Running)
@@ -364,10 +368,10 @@
 		return;
 	}
 	refuseWaiters(_guard, found->second, _refusal, _actions);
-	if (!found->second.askedOf.empty())
+	if (!found->second.successor.empty())
 	{
 		_actions.push_back(
-			SendOutcome{found->second.askedOf, Outcome{_key, found->second.record.ask, true, {}}});
+			SendOutcome{found->second.successor, Outcome{_key, found->second.record.ask, true, {}}});
 	}
 	eraseEntry(_guard, _key);
 }
@@ -397,7 +401,7 @@
 		// The same owner asks again only if it had released the call without running it.
 		CallRecord& record = known->second.record;
 		const bool stale = _intent.ask < record.ask;
-		reply.granted = record.owner == _intent.owner && record.state == CallState::Doubt && !stale;
+		reply.granted = record.owner == _intent.owner && record.state == CallState::InDoubt && !stale;
 		if (reply.granted)
 		{
 			record.bodyHash = _intent.bodyHash;
@@ -413,7 +417,8 @@
 		return reply;
 	}
 	Entry& entry = _guard.entries[_intent.key];
-	entry.record = {_intent.key, _intent.bodyHash, _intent.owner, CallState::Doubt, _intent.ask, _wallMs, {}};
+	entry.record = {_intent.key, _intent.bodyHash, _intent.owner, CallState::InDoubt, _intent.ask, _wallMs,
+					{}};
 	appendLog(_guard, entry);
 	reply.granted = true;
 	return reply;
@@ -423,9 +428,10 @@
 					   GuardActions& _actions)
 {
 	const auto found = _guard.entries.find(_reply.key);
-	const bool waiting = found != _guard.entries.end() && found->second.record.state == CallState::Asking &&
-						 found->second.askedOf == _from && found->second.record.ask == _reply.ask;
-	if (!waiting)
+	const bool isPending = found != _guard.entries.end() &&
+						   found->second.record.state == CallState::IntentPending &&
+						   found->second.successor == _from && found->second.record.ask == _reply.ask;
+	if (!isPending)
 	{
 		adoptTable(_guard, _reply.table, _now, _actions);
 		return;
@@ -443,7 +449,7 @@
 	{
 		for (const CallWaiter& waiter : waiters)
 		{
-			refuse(_guard, waiter, homeChanging("the successor did not agree"), _actions);
+			refuse(_guard, waiter, homeChangingRefusal("the successor did not agree"), _actions);
 		}
 		adoptTable(_guard, _reply.table, _now, _actions);
 		return;
@@ -454,18 +460,18 @@
 	{
 		if (merged == _guard.entries.end())
 		{
-			refuse(_guard, waiter, homeChanging("the successor did not agree"), _actions);
+			refuse(_guard, waiter, homeChangingRefusal("the successor did not agree"), _actions);
 			continue;
 		}
-		answerKnown(_guard, merged->second, GuardedCall{_reply.key, bodyHash, std::nullopt, waiter},
-					_actions);
+		handleRecordedCall(_guard, merged->second, GuardedCall{_reply.key, bodyHash, std::nullopt, waiter},
+						   _actions);
 	}
 }
 
 void handleOutcome(RunOnceGuard& _guard, const Outcome& _outcome)
 {
 	const auto found = _guard.entries.find(_outcome.key);
-	const bool matches = found != _guard.entries.end() && found->second.record.state == CallState::Doubt &&
+	const bool matches = found != _guard.entries.end() && found->second.record.state == CallState::InDoubt &&
 						 found->second.record.ask == _outcome.ask;
 	if (!matches)
 	{
@@ -476,7 +482,7 @@
 		eraseEntry(_guard, _outcome.key);
 		return;
 	}
-	keepAnswer(_guard, found->second, _outcome.answer);
+	storeAnswer(_guard, found->second, _outcome.answer);
 }
 
 void adoptTable(RunOnceGuard& _guard, const HomeTable& _table, TimeUs _now, GuardActions& _actions)
@@ -498,7 +504,7 @@
 		return;
 	}
 	_guard.table = _table;
-	dropAsking(_guard, INT64_MAX, "the home of the key changes", _actions);
+	cancelPendingIntents(_guard, INT64_MAX, "the home of the key changes", _actions);
 	_actions.push_back(TableAdopted{_table.epoch});
 	tick(_guard, _now, 0, _actions);
 }
@@ -529,7 +535,8 @@
 
 void tick(RunOnceGuard& _guard, TimeUs _now, int64_t _wallMs, GuardActions& _actions)
 {
-	dropAsking(_guard, _now - _guard.limits.intentTimeoutUs, "the successor does not answer", _actions);
+	cancelPendingIntents(_guard, _now - _guard.limits.intentTimeoutUs, "the successor does not answer",
+						 _actions);
 	if (isMember(_guard.table, _guard.self))
 	{
 		for (const HomeMember& member : _guard.table.members)
@@ -537,9 +544,9 @@
 			if (member.incarnation != _guard.self &&
 				_guard.pulledEpoch[member.incarnation] < _guard.table.epoch)
 			{
-				_actions.push_back(
-					AskRecords{member.incarnation,
-							   RecordsRequest{_guard.table.epoch, _guard.pulledUpTo[member.incarnation]}});
+				_actions.push_back(RequestRecords{
+					member.incarnation,
+					RecordsRequest{_guard.table.epoch, _guard.pulledUpTo[member.incarnation]}});
 			}
 		}
 	}
@@ -547,12 +554,13 @@
 	for (const auto& [position, key] : _guard.log)
 	{
 		const Entry& entry = _guard.entries.at(key);
-		const bool resting = entry.record.state == CallState::Done || entry.record.state == CallState::Doubt;
+		const bool isFinal =
+			entry.record.state == CallState::Done || entry.record.state == CallState::InDoubt;
 		if (_wallMs == 0 || entry.record.seenMs + _guard.limits.retentionMs > _wallMs)
 		{
 			break; // The log is nearly in order of age; what is out of order waits for the next tick.
 		}
-		if (resting)
+		if (isFinal)
 		{
 			expired.push_back(key);
 		}
@@ -565,13 +573,13 @@
 
 namespace
 {
-const MemberSight* findSight(absl::Span<const MemberSight> _sights, std::string_view _incarnation)
+const MemberStatus* findStatus(absl::Span<const MemberStatus> _statuses, std::string_view _incarnation)
 {
-	for (const MemberSight& sight : _sights)
+	for (const MemberStatus& status : _statuses)
 	{
-		if (sight.incarnation == _incarnation)
+		if (status.incarnation == _incarnation)
 		{
-			return &sight;
+			return &status;
 		}
 	}
 	return nullptr;
@@ -603,27 +611,29 @@
 }
 
 /// Whether a member is known to be dead, not just out of reach.
-bool isDead(const HomeMember& _member, const ProposeInput& _input, absl::Span<const MemberSight> _sights)
+bool isDead(const HomeMember& _member, const ProposalInput& _input, absl::Span<const MemberStatus> _statuses)
 {
 	const bool ownBox = _member.box == _input.self.box; // An earlier start of this very box.
-	const MemberSight* sight = findSight(_sights, _member.incarnation);
-	return ownBox || (sight != nullptr && sight->gone);
+	const MemberStatus* status = findStatus(_statuses, _member.incarnation);
+	return ownBox || (status != nullptr && status->confirmedDead);
 }
 
-bool isSuspect(const HomeMember& _member, const ProposeInput& _input, absl::Span<const MemberSight> _sights)
+bool isSuspect(const HomeMember& _member, const ProposalInput& _input,
+			   absl::Span<const MemberStatus> _statuses)
 {
-	const MemberSight* sight = findSight(_sights, _member.incarnation);
-	return sight != nullptr && !sight->linked && sight->lostFor >= _input.deadAfterUs;
+	const MemberStatus* status = findStatus(_statuses, _member.incarnation);
+	return status != nullptr && !status->linked && status->unreachableFor >= _input.suspectAfterUs;
 }
 
 /// An agent that is itself cut off must not remove the others on a suspicion.
-bool reachesHalf(const HomeTable& _table, const ProposeInput& _input, absl::Span<const MemberSight> _sights)
+bool reachesHalf(const HomeTable& _table, const ProposalInput& _input,
+				 absl::Span<const MemberStatus> _statuses)
 {
 	size_t reached = 0;
 	for (const HomeMember& member : _table.members)
 	{
-		const MemberSight* sight = findSight(_sights, member.incarnation);
-		if (member.incarnation == _input.self.incarnation || (sight != nullptr && sight->linked))
+		const MemberStatus* status = findStatus(_statuses, member.incarnation);
+		if (member.incarnation == _input.self.incarnation || (status != nullptr && status->linked))
 		{
 			++reached;
 		}
@@ -633,21 +643,21 @@
 
 /// Members out of reach may be alive and go on granting each other calls, unaware. So long as one survivor
 /// had pulled all records, it refuses them; without such a survivor only their death makes a removal sound.
-bool mayRemove(const HomeTable& _table, size_t _at, const ProposeInput& _input,
-			   absl::Span<const MemberSight> _sights)
+bool mayRemove(const HomeTable& _table, size_t _at, const ProposalInput& _input,
+			   absl::Span<const MemberStatus> _statuses)
 {
 	const HomeMember& member = _table.members[_at];
 	if (member.incarnation == _input.self.incarnation)
 	{
 		return false;
 	}
-	const bool suspect = isSuspect(member, _input, _sights) && reachesHalf(_table, _input, _sights);
-	return isDead(member, _input, _sights) || (suspect && removalIsSafe(_table, _at));
+	const bool suspect = isSuspect(member, _input, _statuses) && reachesHalf(_table, _input, _statuses);
+	return isDead(member, _input, _statuses) || (suspect && removalIsSafe(_table, _at));
 }
 } // namespace
 
 std::optional<HomeTable> proposeTable(const RunOnceGuard& _guard, const HomeTable& _current,
-									  const ProposeInput& _input, absl::Span<const MemberSight> _sights)
+									  const ProposalInput& _input, absl::Span<const MemberStatus> _statuses)
 {
 	const size_t self = memberIndex(_current, _input.self.incarnation);
 	if (_input.leaving)
@@ -658,7 +668,7 @@
 	}
 	for (size_t ii = 0; ii < _current.members.size(); ++ii)
 	{
-		if (mayRemove(_current, ii, _input, _sights))
+		if (mayRemove(_current, ii, _input, _statuses))
 		{
 			return withoutMember(_current, ii, _input.wallMs);
 		}
@@ -670,8 +680,8 @@
 		++next.epoch;
 		return next;
 	}
-	const bool settled = _guard.table.epoch == _current.epoch && isSettled(_guard);
-	if (settled && _current.members[self].settledEpoch != _current.epoch)
+	const bool synced = _guard.table.epoch == _current.epoch && isSynced(_guard);
+	if (synced && _current.members[self].settledEpoch != _current.epoch)
 	{
 		next.members[self].settledEpoch = _current.epoch;
 		return next;
--- a/src/core/session_token.cpp
+++ b/src/core/session_token.cpp
@@ -42,7 +42,7 @@
 	return text;
 }
 
-[[noreturn]] void refuse(const char* _why)
+[[noreturn]] void rejectSession(const char* _why)
 {
 	throw Failure(ErrorCode::SessionInvalid, _why);
 }
@@ -54,13 +54,13 @@
 	return text + kSeparator + hmacHex(_key, text);
 }
 
-SessionToken openSession(std::string_view _text, absl::Span<const std::string> _keys,
-						 std::string_view _account, int64_t _wallMs)
+SessionToken verifySession(std::string_view _text, absl::Span<const std::string> _keys,
+						   std::string_view _account, int64_t _wallMs)
 {
 	const std::vector<std::string_view> fields = split(_text);
 	if (fields.size() != kFields || fields[0] != "s1")
 	{
-		refuse("not a session token");
+		rejectSession("not a session token");
 	}
 	const std::string_view signedText = _text.substr(0, _text.rfind(kSeparator));
 	const bool valid = std::any_of(_keys.begin(), _keys.end(), [&](const std::string& _key) {
@@ -68,7 +68,7 @@
 	});
 	if (!valid)
 	{
-		refuse("the signature is wrong");
+		rejectSession("the signature is wrong");
 	}
 	SessionToken token;
 	token.account = fields[1];
@@ -78,11 +78,11 @@
 	token.id = fields[5];
 	if (token.account != _account)
 	{
-		refuse("the session belongs to another account");
+		rejectSession("the session belongs to another account");
 	}
 	if (_wallMs > token.issuedMs + kSessionLifetimeMs)
 	{
-		refuse("the session is over");
+		rejectSession("the session is over");
 	}
 	return token;
 }
--- a/src/core/usage_ledger.cpp
+++ b/src/core/usage_ledger.cpp
@@ -5,7 +5,7 @@
 
 namespace spanplank
 {
-uint64_t usageWindowOf(TimeUs _wall, TimeUs _length)
+uint64_t usageWindowAt(TimeUs _wall, TimeUs _length)
 {
 	return uint64_t(std::max<TimeUs>(0, _wall)) / uint64_t(_length);
 }
@@ -14,47 +14,47 @@
 {
 	UsageEntry& entry = _ledger.rows[{_window, _ledger.writer}];
 	++entry.counts[_account];
-	entry.order = ++_ledger.lastChange;
+	entry.changeNumber = ++_ledger.lastChange;
 }
 
-void takeUsage(UsageLedger& _ledger, absl::Span<const UsageRow> _rows)
+void applyUsage(UsageLedger& _ledger, absl::Span<const UsageRow> _rows)
 {
 	for (const UsageRow& row : _rows)
 	{
 		UsageEntry& entry = _ledger.rows[row.key];
-		bool news = entry.order == 0;
+		bool changed = entry.changeNumber == 0;
 		for (const auto& [account, count] : row.counts)
 		{
-			uint64_t& known = entry.counts[account];
-			news = news || count > known;
-			known = std::max(known, count);
+			uint64_t& merged = entry.counts[account];
+			changed = changed || count > merged;
+			merged = std::max(merged, count);
 		}
-		if (news)
+		if (changed)
 		{
-			entry.order = ++_ledger.lastChange;
+			entry.changeNumber = ++_ledger.lastChange;
 		}
 	}
 }
 
-std::vector<UsageRow> usageNewsFor(const UsageLedger& _ledger, ToldUsage& _told, TimeUs _now)
+std::vector<UsageRow> usageUpdateFor(const UsageLedger& _ledger, SentUsage& _sent, TimeUs _now)
 {
-	std::vector<UsageRow> news;
-	if (_told.change == _ledger.lastChange || (_told.at != 0 && _now - _told.at < kUsageEvery))
+	std::vector<UsageRow> update;
+	if (_sent.change == _ledger.lastChange || (_sent.at != 0 && _now - _sent.at < kUsageUpdateIntervalUs))
 	{
-		return news;
+		return update;
 	}
 	for (const auto& [key, entry] : _ledger.rows)
 	{
-		if (entry.order > _told.change)
+		if (entry.changeNumber > _sent.change)
 		{
-			news.push_back({key, entry.counts});
+			update.push_back({key, entry.counts});
 		}
 	}
-	_told = {_ledger.lastChange, _now};
-	return news;
+	_sent = {_ledger.lastChange, _now};
+	return update;
 }
 
-AccountCounts usageOf(const UsageLedger& _ledger, uint64_t _window)
+AccountCounts totalUsage(const UsageLedger& _ledger, uint64_t _window)
 {
 	AccountCounts sum;
 	const auto end = _ledger.rows.lower_bound({_window + 1, 0});
@@ -68,11 +68,12 @@
 	return sum;
 }
 
-void forgetUsage(UsageLedger& _ledger, uint64_t _newest)
+void expireUsage(UsageLedger& _ledger, uint64_t _newest)
 {
-	if (_newest > kUsageWindowsKept)
+	if (_newest > kUsageWindowsRetained)
 	{
-		_ledger.rows.erase(_ledger.rows.begin(), _ledger.rows.lower_bound({_newest - kUsageWindowsKept, 0}));
+		_ledger.rows.erase(_ledger.rows.begin(),
+						   _ledger.rows.lower_bound({_newest - kUsageWindowsRetained, 0}));
 	}
 }
 } // namespace spanplank
--- a/src/direct/follow_store.cpp
+++ b/src/direct/follow_store.cpp
@@ -161,7 +161,8 @@
 		_now + kRewrittenWithin + TimeUs(nextUnit(_router.random) * double(kLookUpSpread));
 	forgetOwnLease(_router, _now + TimeUs(nextUnit(_router.random) * double(kLeaseSpread)));
 	_router.storedSuspects.clear();
-	noteDutyReturned(_router.usageDuty, _router.settings.dutyBounds, wallTime(_router.wall, wallNow(), _now));
+	recordDutyStoreRestore(_router.usageDuty, _router.settings.dutyBounds,
+						   wallTime(_router.wall, wallNow(), _now));
 	for (auto& [service, trial] : _router.trials.trials)
 	{
 		trial.progressRevision = 0;
--- a/src/direct/peer_links.cpp
+++ b/src/direct/peer_links.cpp
@@ -41,7 +41,7 @@
 	takePeerHalts(_router, _ping.halts);
 	takePeerTrials(_router, _ping.trials, _link.idx);
 	takePeerSuspects(_router, _ping.suspects);
-	takeUsage(_router.usage, _ping.usage);
+	applyUsage(_router.usage, _ping.usage);
 	PeerPong pong;
 	pong.seq = _ping.seq;
 	pong.halts = unwrittenHalts(_router.trials);
@@ -80,7 +80,7 @@
 	case MessageType::StoreChanges:
 		takeChangesOfParent(_router, _message.body.get<StoreChanges>());
 		break;
-	case MessageType::StoreAsk:
+	case MessageType::StoreRequest:
 		answerAsk(_router, _link, _message.body.get<StoreAsk>());
 		break;
 	case MessageType::StoreSnapshot:
--- a/src/direct/peer_links_p.h
+++ b/src/direct/peer_links_p.h
@@ -33,7 +33,7 @@
 	std::map<uint32_t, ToldTrials> toldTrials; ///< By link.
 	/// Last change of the suspects that was told, by link. A new link begins with all.
 	std::map<uint32_t, uint64_t> toldSuspects;
-	ToldUsage toldUsage; ///< To the parent over its link.
+	SentUsage toldUsage; ///< To the parent over its link.
 	PeerRegistration registration;
 	std::string key;              ///< Of the links; empty: not known yet.
 	bool keyStands = false;       ///< The store has it.
--- a/src/direct/peer_parent.cpp
+++ b/src/direct/peer_parent.cpp
@@ -105,7 +105,7 @@
 		return;
 	}
 	peers.askedFrom = known;
-	peers.hub->send(peers.parentLink, MessageType::StoreAsk, StoreAsk{known});
+	peers.hub->send(peers.parentLink, MessageType::StoreRequest, StoreAsk{known});
 }
 
 /// Whatever its proof is worth by now, what the parent tells of loads and homes it tells once.
@@ -196,7 +196,7 @@
 	ping.trials = trialNews(_router, link, ping.seq);
 	peers.pingSentAt = monotonicNow();
 	ping.suspects = suspectNewsFor(_router.suspects, peers.toldSuspects[link.idx], peers.pingSentAt);
-	ping.usage = usageNewsFor(_router.usage, peers.toldUsage, peers.pingSentAt);
+	ping.usage = usageUpdateFor(_router.usage, peers.toldUsage, peers.pingSentAt);
 	peers.hub->send(link, MessageType::PeerPing, ping);
 }
 
--- a/src/direct/store_suspects.cpp
+++ b/src/direct/store_suspects.cpp
@@ -51,12 +51,12 @@
 void writeSuspect(DirectRouter& _router, const RequestDigest& _digest)
 {
 	const SuspectNews news = newsOf(_router.suspects, _digest, monotonicNow());
-	const std::string key = std::string(kSuspectPrefix) + hexOf(_digest);
+	const std::string key = std::string(kSuspectPrefix) + digestToHex(_digest);
 	const uint64_t lease = leaseStore(_router.store, 0, kSuspectLeaseMs);
 	const uint64_t expected = _router.storedSuspects[_digest].revision;
 	uint64_t revision = 0;
 	const CasResult result = casStore(_router.store, key, encodeSuspect(news), expected, revision, lease);
-	logEvent("suspect_written", {{"digest", hexOf(_digest)}, {"result", name(result)}});
+	logEvent("suspect_written", {{"digest", digestToHex(_digest)}, {"result", name(result)}});
 	if (result == CasResult::Done)
 	{
 		_router.storedSuspects[_digest] = {revision, news.suspect.episode, news.suspect.refusals, 0};
@@ -103,7 +103,8 @@
 		catch (const Failure& failure)
 		{
 			_router.storedSuspects[digest].writeAfter = monotonicNow() + kWriteAgain;
-			logEvent("suspect_not_written", {{"digest", hexOf(digest)}, {"error", failure.refusal().detail}});
+			logEvent("suspect_not_written",
+					 {{"digest", digestToHex(digest)}, {"error", failure.refusal().detail}});
 		}
 	}
 }
--- a/src/direct/suspects.cpp
+++ b/src/direct/suspects.cpp
@@ -80,7 +80,7 @@
 		const CrashSuspect& suspect = _router.suspects.suspects.at(digest);
 		++_router.stats.suspectsRefused;
 		logEvent("suspect_refused",
-				 {{"digest", hexOf(digest)},
+				 {{"digest", digestToHex(digest)},
 				  {"label", suspect.label},
 				  {"why", _why},
 				  {"chance", fmt::format("{:.2g}", chanceOf(_router.suspects, digest, suspect))},
@@ -101,7 +101,7 @@
 	if (clearSuspect(_router.suspects, _digest, monotonicNow()))
 	{
 		++_router.stats.suspectsCleared;
-		logEvent("suspect_cleared", {{"digest", hexOf(_digest)}, {"why", _why}});
+		logEvent("suspect_cleared", {{"digest", digestToHex(_digest)}, {"why", _why}});
 	}
 }
 } // namespace
@@ -146,7 +146,7 @@
 							  upstreamsInUse(_router, record.service), 0};
 		logEvent("upstream_ended", {{"upstream", record.id},
 									{"service", record.service},
-									{"digest", hexOf(broken.digest)},
+									{"digest", digestToHex(broken.digest)},
 									{"why", "started_again"},
 									{"took_ms", millisText(broken.atWork)}});
 		noteRefused(_router, noteCrash(_router.suspects, broken.digest, broken.label, crash, now), "seen");
@@ -248,7 +248,7 @@
 {
 nlohmann::json describe(const RequestDigest& _digest, const CrashSuspect& _suspect, TimeUs _now)
 {
-	return {{"digest", hexOf(_digest)},
+	return {{"digest", digestToHex(_digest)},
 			{"request", _suspect.label},
 			{"refused", _suspect.refusals > 0},
 			{"refused_for_ms", refusedFor(_suspect, _now) / kMsToUs},
--- a/src/direct/upstream_end.cpp
+++ b/src/direct/upstream_end.cpp
@@ -57,7 +57,7 @@
 	logEvent("upstream_ended", {{"upstream", _notes.record.id},
 								{"service", _notes.record.service},
 								{"request", _serving.call.requestId},
-								{"digest", hexOf(digestOf(_serving))},
+								{"digest", digestToHex(digestOf(_serving))},
 								{"route", _serving.route->name},
 								{"account", _serving.account != nullptr ? _serving.account->name : ""},
 								{"why", _notes.lost ? "started_again" : "refuses_connections"},
--- a/src/direct/usage_duty.cpp
+++ b/src/direct/usage_duty.cpp
@@ -26,7 +26,7 @@
 	return wallTime(_router.wall, wallNow(), monotonicNow());
 }
 
-DutySelf selfOf(const DirectRouter& _router)
+DutyIdentity selfOf(const DirectRouter& _router)
 {
 	return {_router.settings.box, _router.usage.writer};
 }
@@ -34,7 +34,7 @@
 std::string encodeRecord(const DutyRecord& _record)
 {
 	return json{{"holder", _record.holder},
-				{"life", _record.life},
+				{"life", _record.incarnation},
 				{"era", _record.era},
 				{"window", _record.window},
 				{"counts", json(_record.counts)}}
@@ -47,7 +47,7 @@
 	const json value = json::parse(_value);
 	DutyRecord record;
 	value.at("holder").get_to(record.holder);
-	value.at("life").get_to(record.life);
+	value.at("life").get_to(record.incarnation);
 	value.at("era").get_to(record.era);
 	value.at("window").get_to(record.window);
 	value.at("counts").get_to(record.counts);
@@ -68,15 +68,15 @@
 void writeRecord(DirectRouter& _router, const char* _why, uint64_t _window, const AccountCounts& _counts)
 {
 	DutyState& duty = _router.usageDuty;
-	const DutySelf self = selfOf(_router);
-	const DutyRecord record{self.box, self.life, _router.store.era, _window, _counts};
+	const DutyIdentity self = selfOf(_router);
+	const DutyRecord record{self.box, self.incarnation, _router.store.era, _window, _counts};
 	const std::string key(kUsageDutyItem);
 	const TimeUs sentAt = monotonicNow();
 	uint64_t revision = 0;
 	const CasResult result = casStore(_router.store, key, encodeRecord(record), duty.revision, revision);
 	if (result == CasResult::Done)
 	{
-		noteDutyWritten(duty, record, revision, sentAt, monotonicNow());
+		recordDutyWrite(duty, record, revision, sentAt, monotonicNow());
 	}
 	else
 	{
@@ -132,20 +132,20 @@
 	const DutyStep step =
 		nextDutyStep(duty, selfOf(_router), _router.settings.dutyBounds, wallOf(_router), now);
 	const DutyRecord record = duty.record;
-	switch (step.move)
+	switch (step.action)
 	{
-	case DutyMove::Wait:
+	case DutyAction::Wait:
 		break;
-	case DutyMove::Take:
+	case DutyAction::Acquire:
 		writeRecord(_router, "take", record.window, record.counts);
 		break;
-	case DutyMove::Begin:
-		writeRecord(_router, "begin", step.window, usageOf(_router.usage, step.window));
+	case DutyAction::BeginReport:
+		writeRecord(_router, "begin", step.window, totalUsage(_router.usage, step.window));
 		break;
-	case DutyMove::Prove:
+	case DutyAction::Confirm:
 		writeRecord(_router, "prove", record.window, record.counts);
 		break;
-	case DutyMove::Report:
+	case DutyAction::SendReport:
 		sendReport(_router);
 		break;
 	}
@@ -161,7 +161,7 @@
 	}
 	_serving.countedAsBegun = true;
 	countUsage(router.usage, _serving.account->name,
-			   usageWindowOf(wallOf(router), router.settings.dutyBounds.window));
+			   usageWindowAt(wallOf(router), router.settings.dutyBounds.window));
 }
 
 void takeUsageDutyItem(DirectRouter& _router, const StoreItem& _item)
@@ -176,9 +176,9 @@
 		const DutyRecord record = decodeRecord(_item.value);
 		if (record.era < eraOf(_item.revision))
 		{
-			noteDutyReturned(duty, _router.settings.dutyBounds, wallOf(_router));
+			recordDutyStoreRestore(duty, _router.settings.dutyBounds, wallOf(_router));
 		}
-		takeDutyRecord(duty, selfOf(_router), record, _item.revision, monotonicNow());
+		applyDutyRecord(duty, selfOf(_router), record, _item.revision, monotonicNow());
 	}
 	catch (const json::exception& failure)
 	{
@@ -197,8 +197,8 @@
 		{
 			continue;
 		}
-		forgetUsage(_router.usage, usageWindowOf(wallOf(_router), _router.settings.dutyBounds.window));
-		noteFirst(_router.usageDuty, isFirstOfAll(_router), monotonicNow());
+		expireUsage(_router.usage, usageWindowAt(wallOf(_router), _router.settings.dutyBounds.window));
+		recordRootStatus(_router.usageDuty, isFirstOfAll(_router), monotonicNow());
 		try
 		{
 			takeStep(_router);
--- a/tests/core/agent_suspects_test.cpp
+++ b/tests/core/agent_suspects_test.cpp
@@ -138,7 +138,8 @@
 	}
 	AgentActions done;
 	onSubmit(agents[3], kLink, sent->submit, kNow + 2000 * kMsToUs, 1, done);
-	onUpstreamEnd(agents[3], std::get<ForwardWork>(done.front()).work, {}, kNow + 2000 * kMsToUs, 1, done);
+	onUpstreamAnswerEnd(agents[3], std::get<ForwardWork>(done.front()).work, {}, kNow + 2000 * kMsToUs, 1,
+						done);
 	spread(3, kNow + 2100 * kMsToUs);
 	ASSERT_TRUE(endAt(2, sent->submit, kNow + 3000 * kMsToUs));
 	spread(2, kNow + 3100 * kMsToUs);
--- a/tests/core/billing_test.cpp
+++ b/tests/core/billing_test.cpp
@@ -96,29 +96,29 @@
 
 TEST(BillBook, BatchLeavesWhatCameLater)
 {
-	BillBook book;
-	keepBill(book, billOf(1));
-	keepVoid(book, "router.1", 2);
-	const BillBatch batch = batchOf(book, "router.1");
-	keepBill(book, billOf(3));
-	keepVoid(book, "router.1", 4);
-	dropBatch(book, "router.1", batch);
-	const BillBatch rest = batchOf(book, "router.1");
+	BillTable bills;
+	retainBill(bills, billOf(1));
+	retainVoid(bills, "router.1", 2);
+	const BillBatch batch = pendingBatch(bills, "router.1");
+	retainBill(bills, billOf(3));
+	retainVoid(bills, "router.1", 4);
+	dropBatch(bills, "router.1", batch);
+	const BillBatch rest = pendingBatch(bills, "router.1");
 	ASSERT_EQ(rest.bills.size(), 1u);
 	EXPECT_EQ(rest.bills[0].seq, 3u);
 	EXPECT_EQ(rest.voids, std::vector<uint64_t>{4});
-	EXPECT_EQ(book.count, 1u);
+	EXPECT_EQ(bills.count, 1u);
 }
 
 TEST(BillBook, FirstBillUnderANumberStands)
 {
-	BillBook book;
-	keepBill(book, billOf(5));
+	BillTable bills;
+	retainBill(bills, billOf(5));
 	Bill second = billOf(5);
 	second.outputTokens = 99;
-	keepBill(book, second);
-	EXPECT_EQ(book.count, 1u);
-	EXPECT_EQ(batchOf(book, "router.1").bills[0].outputTokens, 5u);
+	retainBill(bills, second);
+	EXPECT_EQ(bills.count, 1u);
+	EXPECT_EQ(pendingBatch(bills, "router.1").bills[0].outputTokens, 5u);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/crash_suspects_test.cpp
+++ b/tests/core/crash_suspects_test.cpp
@@ -44,7 +44,7 @@
 	{
 		EXPECT_FALSE(digestOf(parts) == digestOf(other));
 	}
-	EXPECT_TRUE(*digestFromHex(hexOf(digestOf(parts))) == digestOf(parts));
+	EXPECT_TRUE(*digestFromHex(digestToHex(digestOf(parts))) == digestOf(parts));
 	EXPECT_FALSE(digestFromHex("0123").has_value());
 	EXPECT_FALSE(digestFromHex(std::string(32, 'g')).has_value());
 }
--- a/tests/core/duty_test.cpp
+++ b/tests/core/duty_test.cpp
@@ -17,19 +17,19 @@
 constexpr TimeUs kSecond = 1000 * kMsToUs;
 constexpr TimeUs kStep = 100 * kMsToUs;
 constexpr TimeUs kWallStart = 1000 * kSecond;
-constexpr TimeUs kDay = 90 * kSecond;
-const DutyBounds kBounds;
+constexpr TimeUs kDurationUs = 90 * kSecond;
+const DutyTiming kTiming;
 
 TimeUs wallAt(TimeUs _now)
 {
 	return kWallStart + _now;
 }
 
-struct Holder
+struct Router
 {
-	DutySelf self;
+	DutyIdentity self;
 	DutyState state;
-	bool believesFirst = false;
+	bool assumesRoot = false;
 	TimeUs frozenUntil = 0;
 	TimeUs thawedAt = 0;
 };
@@ -38,7 +38,7 @@
 struct Call
 {
 	TimeUs at = 0;
-	DutySelf from;
+	DutyIdentity from;
 	uint64_t token = 0;
 	uint64_t window = 0;
 	AccountCounts counts;
@@ -60,31 +60,31 @@
 };
 
 /// Routers that believe more or less rightly that they are the first of the tree, a store and a platform.
-struct World
+struct Simulation
 {
 	Random random;
-	std::vector<Holder> holders;
+	std::vector<Router> routers;
 	StoreState store;
-	StoreState copy;
+	StoreState backup;
 	uint64_t era = 1;
 	std::vector<Write> lateWrites;
 	std::vector<Call> lateCalls;
-	std::vector<Call> arrived; ///< In order, accepted ones and refused ones.
+	std::vector<Call> deliveredCalls; ///< In order, accepted ones and refused ones.
 	std::map<uint64_t, std::set<AccountCounts>> accepted;
 	uint64_t highestToken = 0;
 	bool fencing = true;
-	bool returns = false;
+	bool storeRestores = false;
 
-	World(uint64_t _seed, size_t _holders) : random{_seed}
+	Simulation(uint64_t _seed, size_t _routers) : random{_seed}
 	{
-		for (size_t ii = 0; ii < _holders; ++ii)
+		for (size_t ii = 0; ii < _routers; ++ii)
 		{
-			holders.push_back({});
-			holders.back().self = {fmt::format("box-{}", ii), uint32_t(ii + 1)};
+			routers.push_back({});
+			routers.back().self = {fmt::format("box-{}", ii), uint32_t(ii + 1)};
 		}
 	}
 
-	bool happens(double _chance)
+	bool randomChance(double _chance)
 	{
 		return nextUnit(random) < _chance;
 	}
@@ -103,9 +103,9 @@
 	}
 
 	/// @returns Whether the platform took it.
-	bool arrive(const Call& _call)
+	bool deliverCall(const Call& _call)
 	{
-		arrived.push_back(_call);
+		deliveredCalls.push_back(_call);
 		if (fencing && _call.token < highestToken)
 		{
 			return false;
@@ -115,126 +115,127 @@
 		return true;
 	}
 
-	void hear(Holder& _holder, TimeUs _now)
+	void receiveRecord(Router& _router, TimeUs _now)
 	{
 		if (store.revision == 0)
 		{
 			return;
 		}
 		const uint64_t position = positionOf(era, store.revision);
-		if (position <= _holder.state.revision)
+		if (position <= _router.state.revision)
 		{
 			return;
 		}
 		if (store.record.era < era)
 		{
-			noteDutyReturned(_holder.state, kBounds, wallAt(_now));
+			recordDutyStoreRestore(_router.state, kTiming, wallAt(_now));
 		}
-		takeDutyRecord(_holder.state, _holder.self, store.record, position, _now);
+		applyDutyRecord(_router.state, _router.self, store.record, position, _now);
 	}
 
-	void writeOf(Holder& _holder, uint64_t _window, const AccountCounts& _counts, TimeUs _now)
+	void writeRecord(Router& _router, uint64_t _window, const AccountCounts& _counts, TimeUs _now)
 	{
-		const DutyRecord record{_holder.self.box, _holder.self.life, era, _window, _counts};
-		const uint64_t expected = _holder.state.revision;
-		if (happens(0.1))
+		const DutyRecord record{_router.self.box, _router.self.incarnation, era, _window, _counts};
+		const uint64_t expected = _router.state.revision;
+		if (randomChance(0.1))
 		{
 			lateWrites.push_back({_now + TimeUs(nextUnit(random) * 4.0 * double(kSecond)), expected, record});
-			postponeDuty(_holder.state, _now);
+			postponeDuty(_router.state, _now);
 			return;
 		}
 		const uint64_t position = write(expected, record);
-		if (position != 0 && !happens(0.1))
+		if (position != 0 && !randomChance(0.1))
 		{
-			noteDutyWritten(_holder.state, record, position, _now, _now);
+			recordDutyWrite(_router.state, record, position, _now, _now);
 			return;
 		}
-		postponeDuty(_holder.state, _now);
-		hear(_holder, _now);
+		postponeDuty(_router.state, _now);
+		receiveRecord(_router, _now);
 	}
 
-	void report(Holder& _holder, TimeUs _now)
+	void report(Router& _router, TimeUs _now)
 	{
-		const DutyState& state = _holder.state;
-		Call call{_now, _holder.self, state.token, state.record.window, state.record.counts, false};
-		if (happens(0.15))
+		const DutyState& state = _router.state;
+		Call call{_now, _router.self, state.token, state.record.window, state.record.counts, false};
+		if (randomChance(0.15))
 		{
 			call.late = true;
 			call.at = _now + TimeUs(nextUnit(random) * 6.0 * double(kSecond));
 			lateCalls.push_back(call);
-			postponeDuty(_holder.state, _now);
+			postponeDuty(_router.state, _now);
 			return;
 		}
-		if (!arrive(call))
+		if (!deliverCall(call))
 		{
-			resignDuty(_holder.state, _now);
+			resignDuty(_router.state, _now);
 			return;
 		}
-		_holder.state.reported = !happens(0.1);
+		_router.state.reported = !randomChance(0.1);
 	}
 
-	void act(Holder& _holder, TimeUs _now)
+	void runStep(Router& _router, TimeUs _now)
 	{
-		const DutyState& state = _holder.state;
-		const DutyStep step = nextDutyStep(state, _holder.self, kBounds, wallAt(_now), _now);
+		const DutyState& state = _router.state;
+		const DutyStep step = nextDutyStep(state, _router.self, kTiming, wallAt(_now), _now);
 		const AccountCounts own = {{"account", uint64_t(nextUnit(random) * 1000.0)}}; // Ledgers differ.
-		switch (step.move)
+		switch (step.action)
 		{
-		case DutyMove::Wait:
+		case DutyAction::Wait:
 			break;
-		case DutyMove::Take:
-		case DutyMove::Prove:
-			writeOf(_holder, state.record.window, state.record.counts, _now);
+		case DutyAction::Acquire:
+		case DutyAction::Confirm:
+			writeRecord(_router, state.record.window, state.record.counts, _now);
 			break;
-		case DutyMove::Begin:
-			writeOf(_holder, step.window, own, _now);
+		case DutyAction::BeginReport:
+			writeRecord(_router, step.window, own, _now);
 			break;
-		case DutyMove::Report:
-			report(_holder, _now);
+		case DutyAction::SendReport:
+			report(_router, _now);
 			break;
 		}
 	}
 
-	void disturb(TimeUs _now)
+	void injectFault(TimeUs _now)
 	{
-		Holder& holder = holders[size_t(nextUnit(random) * double(holders.size()))];
-		if (happens(0.01))
+		Router& router = routers[size_t(nextUnit(random) * double(routers.size()))];
+		if (randomChance(0.01))
 		{
-			holder.believesFirst = !holder.believesFirst;
+			router.assumesRoot = !router.assumesRoot;
 		}
-		if (happens(0.003))
+		if (randomChance(0.003))
 		{
-			holder.frozenUntil = _now + TimeUs(nextUnit(random) * 8.0 * double(kSecond));
-			holder.thawedAt = holder.frozenUntil;
+			router.frozenUntil = _now + TimeUs(nextUnit(random) * 8.0 * double(kSecond));
+			router.thawedAt = router.frozenUntil;
 		}
-		if (happens(0.003))
+		if (randomChance(0.003))
 		{
-			const DutySelf self{holder.self.box, holder.self.life + 100}; // Its process starts again.
-			holder = {};
-			holder.self = self;
-			holder.believesFirst = true;
+			const DutyIdentity self{router.self.box,
+									router.self.incarnation + 100}; // Its process starts again.
+			router = {};
+			router.self = self;
+			router.assumesRoot = true;
 		}
-		if (returns && _now % (7 * kSecond) == 0)
+		if (storeRestores && _now % (7 * kSecond) == 0)
 		{
-			copy = store;
+			backup = store;
 		}
-		if (returns && happens(0.002))
+		if (storeRestores && randomChance(0.002))
 		{
-			store = copy;
+			store = backup;
 			++era;
-			for (Holder& each : holders)
+			for (Router& each : routers)
 			{
-				noteDutyReturned(each.state, kBounds, wallAt(_now));
+				recordDutyStoreRestore(each.state, kTiming, wallAt(_now));
 			}
 		}
 	}
 
 	void run()
 	{
-		holders[0].believesFirst = true;
-		for (TimeUs now = kStep; now < kDay; now += kStep)
+		routers[0].assumesRoot = true;
+		for (TimeUs now = kStep; now < kDurationUs; now += kStep)
 		{
-			disturb(now);
+			injectFault(now);
 			for (auto at = lateWrites.begin(); at != lateWrites.end();)
 			{
 				if (at->at <= now)
@@ -247,35 +248,35 @@
 			{
 				if (at->at <= now)
 				{
-					arrive(*at);
+					deliverCall(*at);
 				}
 				at = at->at <= now ? lateCalls.erase(at) : std::next(at);
 			}
-			for (Holder& holder : holders)
+			for (Router& router : routers)
 			{
-				if (now < holder.frozenUntil)
+				if (now < router.frozenUntil)
 				{
 					continue;
 				}
-				if (happens(0.5))
+				if (randomChance(0.5))
 				{
-					hear(holder, now);
+					receiveRecord(router, now);
 				}
-				noteFirst(holder.state, holder.believesFirst, now);
-				act(holder, now);
+				recordRootStatus(router.state, router.assumesRoot, now);
+				runStep(router, now);
 			}
 		}
 	}
 
-	void checkOne() const
+	void checkSingleHolder() const
 	{
 		for (const auto& [window, reports] : accepted)
 		{
 			EXPECT_EQ(reports.size(), 1u) << "window " << window << " was reported in two ways";
 		}
-		std::map<uint64_t, DutySelf> holderOf;
+		std::map<uint64_t, DutyIdentity> holderOf;
 		uint64_t highest = 0;
-		for (const Call& call : arrived)
+		for (const Call& call : deliveredCalls)
 		{
 			const auto [known, first] = holderOf.emplace(call.token, call.from);
 			EXPECT_TRUE(first || known->second.box == call.from.box) << "token " << call.token;
@@ -288,21 +289,21 @@
 	}
 
 	/// Nobody acts, then another one, then the first again within the lease.
-	void checkTurns() const
+	void checkHandOvers() const
 	{
-		std::vector<Call> turns;
-		for (const Call& call : arrived)
+		std::vector<Call> handOvers;
+		for (const Call& call : deliveredCalls)
 		{
-			if (!call.late && (turns.empty() || turns.back().from.box != call.from.box))
+			if (!call.late && (handOvers.empty() || handOvers.back().from.box != call.from.box))
 			{
-				turns.push_back(call);
+				handOvers.push_back(call);
 			}
 		}
-		for (size_t ii = 2; ii < turns.size(); ++ii)
+		for (size_t ii = 2; ii < handOvers.size(); ++ii)
 		{
-			if (turns[ii].from.box == turns[ii - 2].from.box)
+			if (handOvers[ii].from.box == handOvers[ii - 2].from.box)
 			{
-				EXPECT_GE(turns[ii].at - turns[ii - 2].at, kBounds.lease);
+				EXPECT_GE(handOvers[ii].at - handOvers[ii - 2].at, kTiming.lease);
 			}
 		}
 	}
@@ -310,53 +311,53 @@
 
 TEST(Duty, OneHolderReportsEachWindowOnceAndInTime)
 {
-	World world(1, 1);
-	Holder& holder = world.holders[0];
-	for (TimeUs now = kStep; now < kDay; now += kStep)
+	Simulation sim(1, 1);
+	Router& router = sim.routers[0];
+	for (TimeUs now = kStep; now < kDurationUs; now += kStep)
 	{
-		noteFirst(holder.state, true, now);
-		const DutyStep step = nextDutyStep(holder.state, holder.self, kBounds, wallAt(now), now);
-		const DutyRecord& known = holder.state.record;
-		if (step.move == DutyMove::Report)
+		recordRootStatus(router.state, true, now);
+		const DutyStep step = nextDutyStep(router.state, router.self, kTiming, wallAt(now), now);
+		const DutyRecord& known = router.state.record;
+		if (step.action == DutyAction::SendReport)
 		{
 			ASSERT_TRUE(
-				world.arrive({now, holder.self, holder.state.token, known.window, known.counts, false}));
-			holder.state.reported = true;
-			EXPECT_LE(wallAt(now), TimeUs(known.window + 1) * kBounds.window + kBounds.late);
+				sim.deliverCall({now, router.self, router.state.token, known.window, known.counts, false}));
+			router.state.reported = true;
+			EXPECT_LE(wallAt(now), TimeUs(known.window + 1) * kTiming.window + kTiming.maxReportDelay);
 		}
-		else if (step.move != DutyMove::Wait)
+		else if (step.action != DutyAction::Wait)
 		{
-			const uint64_t window = step.move == DutyMove::Begin ? step.window : known.window;
-			const DutyRecord record{holder.self.box, holder.self.life, 1, window, {}};
-			noteDutyWritten(holder.state, record, world.write(holder.state.revision, record), now, now);
+			const uint64_t window = step.action == DutyAction::BeginReport ? step.window : known.window;
+			const DutyRecord record{router.self.box, router.self.incarnation, 1, window, {}};
+			recordDutyWrite(router.state, record, sim.write(router.state.revision, record), now, now);
 		}
 	}
-	EXPECT_GE(world.accepted.size(), size_t(kDay / kBounds.window) - 2);
+	EXPECT_GE(sim.accepted.size(), size_t(kDurationUs / kTiming.window) - 2);
 }
 
 TEST(Duty, AProofThatIsTooOldIsMadeAnewBeforeTheCall)
 {
 	DutyState state;
-	const DutySelf self{"box", 1};
-	noteFirst(state, true, 1);
-	noteDutyWritten(state, {"box", 1, 0, 0, {}}, 5, 1, 1);
+	const DutyIdentity self{"box", 1};
+	recordRootStatus(state, true, 1);
+	recordDutyWrite(state, {"box", 1, 0, 0, {}}, 5, 1, 1);
 	const TimeUs later = 20 * kSecond;
-	noteDutyWritten(state, {"box", 1, 0, 203, {{"account", 4}}}, 6, later, later);
-	EXPECT_EQ(nextDutyStep(state, self, kBounds, wallAt(later), later).move, DutyMove::Report);
-	const TimeUs frozen = later + kBounds.lease / 2;
-	EXPECT_EQ(nextDutyStep(state, self, kBounds, wallAt(frozen), frozen).move, DutyMove::Prove);
+	recordDutyWrite(state, {"box", 1, 0, 203, {{"account", 4}}}, 6, later, later);
+	EXPECT_EQ(nextDutyStep(state, self, kTiming, wallAt(later), later).action, DutyAction::SendReport);
+	const TimeUs frozen = later + kTiming.lease / 2;
+	EXPECT_EQ(nextDutyStep(state, self, kTiming, wallAt(frozen), frozen).action, DutyAction::Confirm);
 }
 
 TEST(Duty, ANewHolderWaitsForTheCallsOfTheOneBefore)
 {
 	DutyState state;
-	const DutySelf self{"box", 1};
-	noteFirst(state, true, kSecond);
+	const DutyIdentity self{"box", 1};
+	recordRootStatus(state, true, kSecond);
 	const TimeUs taken = 20 * kSecond;
-	noteDutyWritten(state, {"box", 1, 0, 200, {}}, 5, taken, taken);
-	const TimeUs early = taken + kBounds.lease - 1;
-	EXPECT_EQ(nextDutyStep(state, self, kBounds, wallAt(early), early).move, DutyMove::Wait);
-	EXPECT_NE(nextDutyStep(state, self, kBounds, wallAt(early + 1), early + 1).move, DutyMove::Wait);
+	recordDutyWrite(state, {"box", 1, 0, 200, {}}, 5, taken, taken);
+	const TimeUs early = taken + kTiming.lease - 1;
+	EXPECT_EQ(nextDutyStep(state, self, kTiming, wallAt(early), early).action, DutyAction::Wait);
+	EXPECT_NE(nextDutyStep(state, self, kTiming, wallAt(early + 1), early + 1).action, DutyAction::Wait);
 }
 
 // A holder that lost its place in the tree for a moment (a call of the store failed, a list was read anew)
@@ -366,14 +367,15 @@
 TEST(Duty, AHolderThatIsNotFirstForAMomentKeepsTheDutyAndWaits)
 {
 	DutyState state;
-	const DutySelf self{"box", 1};
-	noteFirst(state, true, 1);
-	noteDutyWritten(state, {"box", 1, 0, 200, {}}, 5, kSecond, kSecond);
+	const DutyIdentity self{"box", 1};
+	recordRootStatus(state, true, 1);
+	recordDutyWrite(state, {"box", 1, 0, 200, {}}, 5, kSecond, kSecond);
 	const TimeUs later = 20 * kSecond;
-	noteFirst(state, false, later);
-	EXPECT_EQ(nextDutyStep(state, self, kBounds, wallAt(later), later).move, DutyMove::Wait);
-	noteFirst(state, true, later + 1);
-	EXPECT_EQ(nextDutyStep(state, self, kBounds, wallAt(later + 1), later + 1).move, DutyMove::Begin);
+	recordRootStatus(state, false, later);
+	EXPECT_EQ(nextDutyStep(state, self, kTiming, wallAt(later), later).action, DutyAction::Wait);
+	recordRootStatus(state, true, later + 1);
+	EXPECT_EQ(nextDutyStep(state, self, kTiming, wallAt(later + 1), later + 1).action,
+			  DutyAction::BeginReport);
 }
 
 TEST(DutyProperty, OneHolderAtATimeOverFreezesRestartsAndCallsCarriedOutLate)
@@ -381,11 +383,11 @@
 	for (uint64_t seed = 0; seed < 300; ++seed)
 	{
 		SCOPED_TRACE(seed);
-		World world(seed, 4);
-		world.run();
-		world.checkOne();
-		world.checkTurns();
-		EXPECT_GE(world.accepted.size(), 1u);
+		Simulation sim(seed, 4);
+		sim.run();
+		sim.checkSingleHolder();
+		sim.checkHandOvers();
+		EXPECT_GE(sim.accepted.size(), 1u);
 	}
 }
 
@@ -394,10 +396,10 @@
 	for (uint64_t seed = 0; seed < 300; ++seed)
 	{
 		SCOPED_TRACE(seed);
-		World world(seed, 4);
-		world.returns = true;
-		world.run();
-		world.checkOne();
+		Simulation sim(seed, 4);
+		sim.storeRestores = true;
+		sim.run();
+		sim.checkSingleHolder();
 	}
 }
 
@@ -406,10 +408,10 @@
 	for (uint64_t seed = 0; seed < 300; ++seed)
 	{
 		SCOPED_TRACE(seed);
-		World world(seed, 4);
-		world.fencing = false;
-		world.run();
-		world.checkOne();
+		Simulation sim(seed, 4);
+		sim.fencing = false;
+		sim.run();
+		sim.checkSingleHolder();
 	}
 }
 } // namespace
--- a/tests/core/router_core_test.cpp
+++ b/tests/core/router_core_test.cpp
@@ -140,7 +140,7 @@
 	fixture.actions.clear();
 	linkDown(fixture.core, sent.to, kNow, 1, fixture.actions);
 	EXPECT_EQ(fixture.take<BreakAnswer>().refusal.run, RunState::Unknown);
-	EXPECT_EQ(batchOf(fixture.core.bills, "router.1").voids.size(), 1u) << "nothing is billed later";
+	EXPECT_EQ(pendingBatch(fixture.core.bills, "router.1").voids.size(), 1u) << "nothing is billed later";
 }
 
 /// The naive rule takes the last attempt's word; the true one needs `no` from all.
@@ -179,7 +179,7 @@
 	EXPECT_NE(strong.submit.billSeq, cheap.submit.billSeq) << "each step that ran is billed";
 	fixture.end(strong, 0, 0.1);
 	EXPECT_EQ(fixture.take<WholeAnswer>().head.version, "large@1");
-	EXPECT_EQ(batchOf(fixture.core.bills, "router.1").bills.size(), 2u);
+	EXPECT_EQ(pendingBatch(fixture.core.bills, "router.1").bills.size(), 2u);
 }
 
 TEST(RouterCore, LeavingUpstreamComesBackOnlyAsAnotherIncarnation)
--- a/tests/core/session_token_test.cpp
+++ b/tests/core/session_token_test.cpp
@@ -19,7 +19,7 @@
 
 TEST(SessionToken, RoundTrip)
 {
-	const SessionToken token = openSession(signSession(sample(), kKeys[0]), kKeys, "town-1", 1000500);
+	const SessionToken token = verifySession(signSession(sample(), kKeys[0]), kKeys, "town-1", 1000500);
 	EXPECT_EQ(token.version, "writer@2");
 	EXPECT_EQ(token.generation, 3u);
 	EXPECT_EQ(token.id, "abc");
@@ -27,12 +27,12 @@
 
 TEST(SessionToken, OldKeyStillOpens)
 {
-	EXPECT_NO_THROW(openSession(signSession(sample(), kKeys[1]), kKeys, "town-1", 1000500));
+	EXPECT_NO_THROW(verifySession(signSession(sample(), kKeys[1]), kKeys, "town-1", 1000500));
 }
 
 TEST(SessionToken, AnotherAccountsTokenIsRefused)
 {
-	EXPECT_THROW(openSession(signSession(sample(), kKeys[0]), kKeys, "town-2", 1000500), Failure);
+	EXPECT_THROW(verifySession(signSession(sample(), kKeys[0]), kKeys, "town-2", 1000500), Failure);
 }
 
 TEST(SessionToken, EveryChangedCharacterIsRefused)
@@ -42,17 +42,18 @@
 	{
 		std::string forged = text;
 		forged[ii] = char(forged[ii] ^ 1);
-		EXPECT_THROW(openSession(forged, kKeys, "town-1", 1000500), Failure) << ii;
+		EXPECT_THROW(verifySession(forged, kKeys, "town-1", 1000500), Failure) << ii;
 	}
 }
 
 TEST(SessionToken, UnknownKeyAndAgeAreRefused)
 {
-	EXPECT_THROW(openSession(signSession(sample(), "another-key-of-16"), kKeys, "town-1", 1000500), Failure);
+	EXPECT_THROW(verifySession(signSession(sample(), "another-key-of-16"), kKeys, "town-1", 1000500),
+				 Failure);
 	const int64_t late = 1000000 + kSessionLifetimeMs + 1;
-	EXPECT_THROW(openSession(signSession(sample(), kKeys[0]), kKeys, "town-1", late), Failure);
-	EXPECT_THROW(openSession("", kKeys, "town-1", 0), Failure);
-	EXPECT_THROW(openSession("a~b~c~d~e~f~g", kKeys, "town-1", 0), Failure);
+	EXPECT_THROW(verifySession(signSession(sample(), kKeys[0]), kKeys, "town-1", late), Failure);
+	EXPECT_THROW(verifySession("", kKeys, "town-1", 0), Failure);
+	EXPECT_THROW(verifySession("a~b~c~d~e~f~g", kKeys, "town-1", 0), Failure);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/usage_ledger_test.cpp
+++ b/tests/core/usage_ledger_test.cpp
@@ -24,22 +24,22 @@
 {
 	constexpr TimeUs kSecond = 1000 * kMsToUs;
 	constexpr TimeUs kLength = 5 * kSecond;
-	EXPECT_EQ(usageWindowOf(35 * kSecond, kLength), 7u);
-	EXPECT_EQ(usageWindowOf(35 * kSecond - 1, kLength), 6u);
+	EXPECT_EQ(usageWindowAt(35 * kSecond, kLength), 7u);
+	EXPECT_EQ(usageWindowAt(35 * kSecond - 1, kLength), 6u);
 }
 
 TEST(UsageLedger, NewsAreToldOnceOverALinkAndAgainOverTheNext)
 {
 	UsageLedger ledger = ledgerOf(1);
 	countUsage(ledger, "hall-one", kWindow);
-	ToldUsage told;
-	ASSERT_EQ(usageNewsFor(ledger, told, kUsageEvery).size(), 1u);
-	EXPECT_TRUE(usageNewsFor(ledger, told, 2 * kUsageEvery).empty());
+	SentUsage sent;
+	ASSERT_EQ(usageUpdateFor(ledger, sent, kUsageUpdateIntervalUs).size(), 1u);
+	EXPECT_TRUE(usageUpdateFor(ledger, sent, 2 * kUsageUpdateIntervalUs).empty());
 	countUsage(ledger, "hall-one", kWindow);
-	EXPECT_TRUE(usageNewsFor(ledger, told, kUsageEvery + 1).empty()) << "the pause is not over";
-	EXPECT_EQ(usageNewsFor(ledger, told, 3 * kUsageEvery).size(), 1u);
-	ToldUsage next;
-	EXPECT_EQ(usageNewsFor(ledger, next, 3 * kUsageEvery).size(), 1u);
+	EXPECT_TRUE(usageUpdateFor(ledger, sent, kUsageUpdateIntervalUs + 1).empty()) << "the pause is not over";
+	EXPECT_EQ(usageUpdateFor(ledger, sent, 3 * kUsageUpdateIntervalUs).size(), 1u);
+	SentUsage next;
+	EXPECT_EQ(usageUpdateFor(ledger, next, 3 * kUsageUpdateIntervalUs).size(), 1u);
 }
 
 TEST(UsageLedger, ARouterOfAnEarlierVersionTellsNoUsage)
@@ -62,20 +62,20 @@
 	{
 		Random random{seed};
 		std::vector<UsageLedger> ledgers;
-		std::vector<ToldUsage> told(kRouters);
+		std::vector<SentUsage> sent(kRouters);
 		std::vector<uint32_t> parent(kRouters, 0);
 		for (uint32_t ii = 0; ii < kRouters; ++ii)
 		{
 			ledgers.push_back(ledgerOf(ii + 1));
 		}
 		uint64_t counted = 0;
-		TimeUs now = kUsageEvery;
-		const auto tell = [&](uint32_t _from) {
-			takeUsage(ledgers[parent[_from]], usageNewsFor(ledgers[_from], told[_from], now));
+		TimeUs now = kUsageUpdateIntervalUs;
+		const auto sendUpdate = [&](uint32_t _from) {
+			applyUsage(ledgers[parent[_from]], usageUpdateFor(ledgers[_from], sent[_from], now));
 		};
 		for (uint32_t round = 0; round < kRounds; ++round)
 		{
-			now += kUsageEvery;
+			now += kUsageUpdateIntervalUs;
 			const auto router = uint32_t(nextUnit(random) * kRouters);
 			countUsage(ledgers[router], "account", kWindow);
 			++counted;
@@ -83,16 +83,16 @@
 			if (nextUnit(random) < 0.3)
 			{
 				parent[moved] = uint32_t(nextUnit(random) * moved);
-				told[moved] = {};
+				sent[moved] = {};
 			}
-			tell(moved);
+			sendUpdate(moved);
 		}
 		for (uint32_t ii = kRouters; ii-- > 1;)
 		{
-			now += kUsageEvery;
-			tell(ii);
+			now += kUsageUpdateIntervalUs;
+			sendUpdate(ii);
 		}
-		EXPECT_EQ(usageOf(ledgers[0], kWindow)["account"], counted) << "seed " << seed;
+		EXPECT_EQ(totalUsage(ledgers[0], kWindow)["account"], counted) << "seed " << seed;
 	}
 }
 
@@ -101,9 +101,9 @@
 	UsageLedger ledger = ledgerOf(1);
 	countUsage(ledger, "account", 1);
 	countUsage(ledger, "account", 20);
-	forgetUsage(ledger, 20);
+	expireUsage(ledger, 20);
 	EXPECT_EQ(ledger.rows.size(), 1u);
-	EXPECT_TRUE(usageOf(ledger, 1).empty());
+	EXPECT_TRUE(totalUsage(ledger, 1).empty());
 }
 
 // The clock of a box jumped by seconds and back; usage fell into windows that were not those of true time.
