--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -191,8 +191,8 @@
 		for (uint32_t ii = 0; ii < _count; ++ii)
 		{
 			const std::string id = callKey("account", "service", std::to_string(ii));
-			begin(*guard, {id, "0123456789abcdef", std::nullopt, {LinkId{0}, ii}}, 0, 1, actions);
-			finish(*guard, id, {200, "application/json", "", false}, actions);
+			beginCall(*guard, {id, "0123456789abcdef", std::nullopt, {LinkId{0}, ii}}, 0, 1, actions);
+			finishCall(*guard, id, {200, "application/json", "", false}, actions);
 			actions.clear();
 		}
 		return guard;
