--- a/src/core/agent_core.cpp
+++ b/src/core/agent_core.cpp
@@ -48,14 +48,14 @@
 		}
 		if (!contains(_core.init.self.services, _submit.service))
 		{
-			_why = {ErrorCode::UnknownService, RunState::No, 0, "the service is not here"};
+			_why = {ErrorCode::UnknownService, RunState::No, 0, "this agent does not serve the service"};
 			return false;
 		}
 		return true;
 	}
 	if (!mayServe(_core.config, _submit.version, _submit.session))
 	{
-		_why = {ErrorCode::VersionWithdrawn, RunState::No, 0, "the version takes no new work"};
+		_why = {ErrorCode::VersionWithdrawn, RunState::No, 0, "the version does not accept new requests"};
 		return false;
 	}
 	if (!allowsVersion(_core.config, _submit.account, _submit.version))
@@ -65,13 +65,14 @@
 	}
 	if (!contains(_core.init.self.versions, _submit.version))
 	{
-		_why = {ErrorCode::NoUpstream, RunState::No, 0, "the version is not loaded here"};
+		_why = {ErrorCode::NoUpstream, RunState::No, 0, "the version is not loaded on this agent"};
 		return false;
 	}
 	return true;
 }
 
-/// @returns Why work must not begin now, or nothing if it may. Judged by what this agent knows.
+/// Checks a submitted attempt against this agent's own state and configuration.
+/// @returns The reason why it must not start now, or nothing if it may.
 std::optional<Refusal> checkSubmit(const AgentCore& _core, const Submit& _submit, TimeUs _deadline,
 								   TimeUs _now)
 {
@@ -82,11 +83,12 @@
 	if (_submit.revision > _core.config.revision)
 	{
 		return Refusal{ErrorCode::ConfigBehind, RunState::No, kStoppingRetryMs,
-					   "the agent has not the configuration that the router judged by"};
+					   "the agent's configuration is older than the router's"};
 	}
 	if (_core.bills.count >= _core.init.maxUnflushedBills)
 	{
-		return Refusal{ErrorCode::BillsFull, RunState::No, kBillsFullRetryMs, "no room for another bill"};
+		return Refusal{ErrorCode::BillsFull, RunState::No, kBillsFullRetryMs,
+					   "too many bills are waiting to be flushed"};
 	}
 	if (_now >= _deadline)
 	{
@@ -95,7 +97,7 @@
 	if (!_core.suspects.suspects.empty())
 	{
 		const RequestDigest digest = digestOf(_submit);
-		// Of all agents two may run one that is due.
+		// Only two agents of the pool may retry a suspect that is due.
 		const bool mayTry = standingOf(_core.suspects, digest, _now) == SuspectStanding::Due &&
 							watchesRatings(_core, digestToHex(digest));
 		std::optional<Refusal> refusal = refusalOf(_core.suspects, digest, mayTry, _now);
@@ -118,7 +120,8 @@
 	return version != _core.config.versions.end() && version->second.state == VersionState::Candidate;
 }
 
-/// Pays for one answer of a candidate. Serving versions are free.
+/// Consumes an exposure credit for an answer of a candidate; serving versions need none.
+/// @returns Whether the attempt may run.
 bool consumeExposure(AgentCore& _core, const Submit& _submit)
 {
 	if (!_core.init.boundExposure || !_submit.service.empty() || !isCandidate(_core, _submit.version))
@@ -152,10 +155,10 @@
 
 Refusal lateRefusal()
 {
-	return {ErrorCode::Overloaded, RunState::No, kLateWorkRetryMs, "it would not be done in time any more"};
+	return {ErrorCode::Overloaded, RunState::No, kLateWorkRetryMs, "the deadline can no longer be met"};
 }
 
-/// The last gate: judged again, paid for, forwarded.
+/// Forwards work to the upstream, after checking it again and consuming an exposure credit if it needs one.
 void startWork(AgentCore& _core, WorkId _id, bool _recheck, TimeUs _now, int64_t _wallMs,
 			   AgentActions& _actions)
 {
@@ -168,7 +171,7 @@
 	if (!refusal && !consumeExposure(_core, work.submit))
 	{
 		refusal = Refusal{ErrorCode::ExposureSpent, RunState::No, kExposureRetryMs,
-						  "the candidate may give no more answers until ratings are in"};
+						  "the candidate's exposure is used up until more ratings arrive"};
 	}
 	if (refusal)
 	{
@@ -212,7 +215,7 @@
 	return demand;
 }
 
-/// Takes judged work into the queue, or starts it.
+/// Queues work that has passed the checks, or starts it.
 void admitWork(AgentCore& _core, LinkId _from, const Submit& _submit, std::string _guardKey, TimeUs _now,
 			   int64_t _wallMs, AgentActions& _actions)
 {
@@ -225,7 +228,7 @@
 	work.guardKey = std::move(_guardKey);
 	const AdmissionResult result = admit(_core.queue, demandOf(_core, id, _submit, deadline), _now);
 	const Refusal overloaded{ErrorCode::Overloaded, RunState::No, result.retryAfterMs,
-							 "it would not be done in time"};
+							 "the deadline cannot be met"};
 	if (result.evicted)
 	{
 		refuseWork(_core, *result.evicted, overloaded, _now, _wallMs, _actions);
@@ -240,7 +243,7 @@
 	}
 }
 
-/// The answer of a run-once call, sent whole to one waiter.
+/// Sends the complete answer of a run-once call to a waiter.
 void sendCompleteAnswer(const CallWaiter& _waiter, const CallAnswer& _answer, const Bill& _bill,
 						AgentActions& _actions)
 {
@@ -265,7 +268,7 @@
 	admitWork(_core, _run.first.link, submit, _run.key, _now, _wallMs, _actions);
 }
 
-/// Turns the guard's actions into the agent's.
+/// Carries out the guard's actions, or passes them on as actions of the agent.
 void applyGuardActions(AgentCore& _core, GuardActions& _guardActions, TimeUs _now, int64_t _wallMs,
 					   AgentActions& _actions)
 {
@@ -341,7 +344,7 @@
 	return bill;
 }
 
-/// Ends guarded work; the bill goes to the first waiter, whose call it was that ran.
+/// Completes run-once work. The bill goes to the first waiter, since its call is the one that ran.
 void finishGuarded(AgentCore& _core, const std::string& _key, const CallAnswer& _answer, const Bill& _bill,
 				   TimeUs _now, int64_t _wallMs, AgentActions& _actions)
 {
@@ -485,7 +488,7 @@
 	noteAnswered(_core.suspects, digestOf(found->second.submit), _now);
 	const Work work = std::move(found->second);
 	removeWork(_core, _work, uint64_t(_end.promptTokens) + _end.outputTokens, _end.seconds);
-	const bool billable = work.status < 500 && !work.cancelled; // An answer that nobody gets is not billed.
+	const bool billable = work.status < 500 && !work.cancelled; // Undelivered answers are not billed.
 	const Bill bill = billable ? makeBill(_core, work, _end.promptTokens, _end.outputTokens) : Bill{};
 	if (!work.guardKey.empty())
 	{
@@ -507,7 +510,7 @@
 
 namespace
 {
-/// The upstream ended while it was at work on a request.
+/// Records that the upstream terminated while it was running a request.
 void recordUpstreamCrash(AgentCore& _core, const Work& _work, TimeUs _now)
 {
 	++_core.stats.interruptedAttempts;
@@ -622,7 +625,7 @@
 		return;
 	}
 	watch = DriftWatch{};
-	const Halt halt{_version, version->second.generation, "it has turned bad while it served"};
+	const Halt halt{_version, version->second.generation, "its quality dropped while it was serving"};
 	if (onHalt(_core, halt))
 	{
 		_actions.push_back(AnnounceHalt{halt});
@@ -657,7 +660,8 @@
 	std::sort(late.begin(), late.end());
 	for (const uint64_t idx : late)
 	{
-		const Refusal refusal{ErrorCode::DeadlinePassed, RunState::No, 0, "the deadline has come"};
+		const Refusal refusal{ErrorCode::DeadlinePassed, RunState::No, 0,
+							  "the deadline passed while the request was queued"};
 		refuseWork(_core, WorkId{idx}, refusal, _now, _wallMs, _actions);
 	}
 	GuardActions guardActions;
--- a/src/core/billing.cpp
+++ b/src/core/billing.cpp
@@ -6,7 +6,7 @@
 {
 namespace
 {
-/// Inserts a number that is not in any range, joining neighbours.
+/// Inserts a number that is in none of the ranges, and merges adjacent ranges.
 void insertSeq(std::vector<SeqRange>& _ranges, uint64_t _seq)
 {
 	auto next =
@@ -49,7 +49,7 @@
 	{
 		if (bill.owner != _ledger.owner)
 		{
-			throw Failure(ErrorCode::Internal, "a bill of another owner");
+			throw Failure(ErrorCode::Internal, "the bill belongs to another owner");
 		}
 		if (bill.seq == 0 || isCounted(_ledger, bill.seq))
 		{
--- a/src/core/duty.cpp
+++ b/src/core/duty.cpp
@@ -1,4 +1,4 @@
-/// The steps of a duty's holder and of the router that would be the next one.
+/// Steps of the holder of a duty and of a router that may acquire it.
 #include "spanplank/duty.h"
 
 #include <algorithm>
@@ -7,29 +7,31 @@
 {
 namespace
 {
-/// @returns The number of windows that ended by a moment: the newest of them has this number less one.
+/// @returns The number of windows that have ended by a wall time. The newest of them is this number minus
+/// one.
 uint64_t windowsEnded(TimeUs _wall, const DutyTiming& _timing)
 {
 	return usageWindowAt(_wall, _timing.window);
 }
 
-/// @returns The first window whose report would still be of use.
+/// @returns The oldest window that may still be reported.
 uint64_t firstTimelyWindow(TimeUs _wall, const DutyTiming& _timing)
 {
 	return windowsEnded(_wall - _timing.maxReportDelay, _timing);
 }
 
-/// A proof that is older than this is too old to act by: the call itself takes time, too.
+/// @returns The maximum age of a confirmation on which the holder may act: half of the lease, since the call
+/// itself takes time, too.
 TimeUs maxConfirmationAge(const DutyTiming& _timing)
 {
 	return _timing.lease / 2;
 }
 
-/// @returns Whether the duty is to be taken over: nobody holds it, or its holder has let a report pass.
+/// @returns Whether the duty may be acquired: it has no holder, or its holder has missed a report.
 bool isVacant(const DutyState& _state, const DutyIdentity& _self, const DutyTiming& _timing, TimeUs _wall,
 			  TimeUs _now)
 {
-	const bool heldByThisBox = _state.record.holder == _self.box; // By an earlier process of this box.
+	const bool heldByThisBox = _state.record.holder == _self.box; // By a previous process on this box.
 	if (_state.revision == 0 || heldByThisBox)
 	{
 		return true;
@@ -104,7 +106,7 @@
 	}
 	else if (_state.token == 0 && _state.rootSince != 0)
 	{
-		_state.token = _revision; // Of a write whose answer was lost.
+		_state.token = _revision; // The answer of the write was lost.
 		_state.acquiredAt = _now;
 		_state.confirmedAt = 0;
 	}
--- a/src/core/run_once.cpp
+++ b/src/core/run_once.cpp
@@ -84,7 +84,7 @@
 	_guard.entries.erase(found);
 }
 
-/// The successor of a key whose primary is the guard itself; empty if there is none.
+/// @returns The incarnation of the successor of a key whose primary is this member; empty if there is none.
 std::string successorOf(const RunOnceGuard& _guard, std::string_view _key)
 {
 	const std::vector<size_t> rank = rankMembers(_guard.table.members, _key);
@@ -97,14 +97,15 @@
 	return !rank.empty() && _guard.table.members[rank[0]].incarnation == _guard.self;
 }
 
-/// Answers a call whose key has a record already.
+/// Handles a call whose key already has a record.
 void handleRecordedCall(RunOnceGuard& _guard, Entry& _entry, const GuardedCall& _call, GuardActions& _actions)
 {
 	if (_entry.record.bodyHash != _call.bodyHash)
 	{
-		refuse(_guard, _call.waiter,
-			   Refusal{ErrorCode::KeyReused, RunState::No, 0, "the key was used with another body"},
-			   _actions);
+		refuse(
+			_guard, _call.waiter,
+			Refusal{ErrorCode::KeyReused, RunState::No, 0, "the key was already used with a different body"},
+			_actions);
 		return;
 	}
 	switch (_entry.record.state)
@@ -129,12 +130,13 @@
 	}
 }
 
-/// @returns Why a key without record must not run now, or nothing if it may.
+/// @returns The reason why a key without a record must not run now, or nothing if it may.
 std::optional<Refusal> refusalFor(const RunOnceGuard& _guard, const GuardedCall& _call, int64_t _wallMs)
 {
 	if (_call.keyCreatedMs && *_call.keyCreatedMs > _wallMs + kClockSkewMs)
 	{
-		return Refusal{ErrorCode::BadRequest, RunState::No, 0, "the key was born in the future"};
+		return Refusal{ErrorCode::BadRequest, RunState::No, 0,
+					   "the creation time of the key is in the future"};
 	}
 	if (!isPrimary(_guard, _call.key))
 	{
@@ -142,11 +144,11 @@
 	}
 	if (!isSynced(_guard) || _guard.resigned)
 	{
-		return homeChangingRefusal("the home is taking over");
+		return homeChangingRefusal("the home of the key is not ready");
 	}
 	if (_guard.entries.size() >= _guard.limits.maxKeys)
 	{
-		return Refusal{ErrorCode::Overloaded, RunState::No, 60000, "no room to remember another key"};
+		return Refusal{ErrorCode::Overloaded, RunState::No, 60000, "too many keys are recorded"};
 	}
 	const bool createdAfterLoss =
 		_call.keyCreatedMs && *_call.keyCreatedMs - kClockSkewMs > _guard.table.doubtBeforeMs;
@@ -176,7 +178,7 @@
 	}
 }
 
-/// Gives up all intents that are on their way; none of their calls has run.
+/// Cancels the pending intents sent up to a time. None of their calls has run.
 void cancelPendingIntents(RunOnceGuard& _guard, TimeUs _sentBefore, const char* _why, GuardActions& _actions)
 {
 	std::vector<std::string> cancelled;
@@ -195,12 +197,12 @@
 	}
 }
 
-/// Takes a record of another member. What it may have run, this one will never run.
+/// Merges a record of another member. A call that another member may have run is never run by this one.
 void mergeRecord(RunOnceGuard& _guard, const CallRecord& _record)
 {
 	if (_record.owner == _guard.self && _guard.entries.find(_record.key) == _guard.entries.end())
 	{
-		return; // Released by this very process: its own memory is the better witness.
+		return; // This process released the call, so its own state is more accurate than the copy.
 	}
 	Entry& entry = _guard.entries[_record.key];
 	const bool isNew = entry.record.key.empty();
@@ -349,10 +351,10 @@
 	{
 		if (_answer.unknown)
 		{
-			refuse(
-				_guard, waiter,
-				Refusal{ErrorCode::UpstreamLost, RunState::Unknown, 0, "the upstream was lost while it ran"},
-				_actions);
+			refuse(_guard, waiter,
+				   Refusal{ErrorCode::UpstreamLost, RunState::Unknown, 0,
+						   "the upstream was lost during the call"},
+				   _actions);
 			continue;
 		}
 		_actions.push_back(ReplayAnswer{waiter, _answer});
@@ -398,7 +400,7 @@
 	const auto known = _guard.entries.find(_intent.key);
 	if (known != _guard.entries.end())
 	{
-		// The same owner asks again only if it had released the call without running it.
+		// The owner sends another intent for a key only if it released the call without running it.
 		CallRecord& record = known->second.record;
 		const bool stale = _intent.ask < record.ask;
 		reply.granted = record.owner == _intent.owner && record.state == CallState::InDoubt && !stale;
@@ -449,7 +451,7 @@
 	{
 		for (const CallWaiter& waiter : waiters)
 		{
-			refuse(_guard, waiter, homeChangingRefusal("the successor did not agree"), _actions);
+			refuse(_guard, waiter, homeChangingRefusal("the successor did not grant the call"), _actions);
 		}
 		adoptTable(_guard, _reply.table, _now, _actions);
 		return;
@@ -460,7 +462,7 @@
 	{
 		if (merged == _guard.entries.end())
 		{
-			refuse(_guard, waiter, homeChangingRefusal("the successor did not agree"), _actions);
+			refuse(_guard, waiter, homeChangingRefusal("the successor did not grant the call"), _actions);
 			continue;
 		}
 		handleRecordedCall(_guard, merged->second, GuardedCall{_reply.key, bodyHash, std::nullopt, waiter},
@@ -475,7 +477,7 @@
 						 found->second.record.ask == _outcome.ask;
 	if (!matches)
 	{
-		return; // It ends an earlier intent: the one that was granted since stands.
+		return; // It completes a superseded intent; the one granted since then stays valid.
 	}
 	if (_outcome.released)
 	{
@@ -504,7 +506,7 @@
 		return;
 	}
 	_guard.table = _table;
-	cancelPendingIntents(_guard, INT64_MAX, "the home of the key changes", _actions);
+	cancelPendingIntents(_guard, INT64_MAX, "the home of the key is changing", _actions);
 	_actions.push_back(TableAdopted{_table.epoch});
 	tick(_guard, _now, 0, _actions);
 }
@@ -535,7 +537,7 @@
 
 void tick(RunOnceGuard& _guard, TimeUs _now, int64_t _wallMs, GuardActions& _actions)
 {
-	cancelPendingIntents(_guard, _now - _guard.limits.intentTimeoutUs, "the successor does not answer",
+	cancelPendingIntents(_guard, _now - _guard.limits.intentTimeoutUs, "the successor did not answer in time",
 						 _actions);
 	if (isMember(_guard.table, _guard.self))
 	{
@@ -558,7 +560,7 @@
 			entry.record.state == CallState::Done || entry.record.state == CallState::InDoubt;
 		if (_wallMs == 0 || entry.record.seenMs + _guard.limits.retentionMs > _wallMs)
 		{
-			break; // The log is nearly in order of age; what is out of order waits for the next tick.
+			break; // The log is almost sorted by age; entries out of order are removed in a later tick.
 		}
 		if (isFinal)
 		{
@@ -585,7 +587,7 @@
 	return nullptr;
 }
 
-/// A removal loses no record if every survivor had pulled everything and the removed one was not alone.
+/// A removal loses no record if all remaining members hold all records and there is at least one of them.
 bool removalIsSafe(const HomeTable& _table, size_t _removed)
 {
 	for (size_t ii = 0; ii < _table.members.size(); ++ii)
@@ -610,10 +612,10 @@
 	return next;
 }
 
-/// Whether a member is known to be dead, not just out of reach.
+/// @returns Whether a member has certainly terminated and is not merely unreachable.
 bool isDead(const HomeMember& _member, const ProposalInput& _input, absl::Span<const MemberStatus> _statuses)
 {
-	const bool ownBox = _member.box == _input.self.box; // An earlier start of this very box.
+	const bool ownBox = _member.box == _input.self.box; // A previous incarnation on this box.
 	const MemberStatus* status = findStatus(_statuses, _member.incarnation);
 	return ownBox || (status != nullptr && status->confirmedDead);
 }
@@ -625,7 +627,8 @@
 	return status != nullptr && !status->linked && status->unreachableFor >= _input.suspectAfterUs;
 }
 
-/// An agent that is itself cut off must not remove the others on a suspicion.
+/// @returns Whether at least half of the members are reachable. An agent that is itself isolated must not
+/// remove the others on a suspicion.
 bool reachesHalf(const HomeTable& _table, const ProposalInput& _input,
 				 absl::Span<const MemberStatus> _statuses)
 {
@@ -641,8 +644,9 @@
 	return reached * 2 >= _table.members.size();
 }
 
-/// Members out of reach may be alive and go on granting each other calls, unaware. So long as one survivor
-/// had pulled all records, it refuses them; without such a survivor only their death makes a removal sound.
+/// @returns Whether a member may be removed from the table. Unreachable members may still run and grant each
+/// other calls, unaware of the removal. A remaining member that has pulled all records refuses those calls;
+/// without one, a removal is safe only if the removed member has certainly terminated.
 bool mayRemove(const HomeTable& _table, size_t _at, const ProposalInput& _input,
 			   absl::Span<const MemberStatus> _statuses)
 {
--- a/src/core/session_token.cpp
+++ b/src/core/session_token.cpp
@@ -13,7 +13,7 @@
 {
 namespace
 {
-constexpr char kSeparator = '~'; // Not a character of resource names.
+constexpr char kSeparator = '~'; // Resource names do not contain it.
 constexpr size_t kFields = 7;
 
 std::vector<std::string_view> split(std::string_view _text)
@@ -68,7 +68,7 @@
 	});
 	if (!valid)
 	{
-		rejectSession("the signature is wrong");
+		rejectSession("the signature is invalid");
 	}
 	SessionToken token;
 	token.account = fields[1];
@@ -82,7 +82,7 @@
 	}
 	if (_wallMs > token.issuedMs + kSessionLifetimeMs)
 	{
-		rejectSession("the session is over");
+		rejectSession("the session has expired");
 	}
 	return token;
 }
--- a/src/core/usage_ledger.cpp
+++ b/src/core/usage_ledger.cpp
@@ -1,4 +1,4 @@
-/// Counting and putting together the usage of client accounts.
+/// Counting and merging of the usage of client accounts.
 #include "spanplank/usage_ledger.h"
 
 #include <algorithm>
--- a/tests/core/billing_test.cpp
+++ b/tests/core/billing_test.cpp
@@ -1,4 +1,4 @@
-/// Billing ledger: any number of flushers, any loss of answers, each number counts once.
+/// Billing ledger: each number counts once, for any number of flushing processes and lost answers.
 #include "spanplank/billing.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
 	const bool held = rc::check("counted once", [](const std::vector<std::vector<uint8_t>>& _batches) {
 		BillingLedger ledger;
 		ledger.owner = "router.1";
-		std::set<uint64_t> billed; // The naive ledger: a set of numbers.
+		std::set<uint64_t> billed; // Reference model: a set of numbers.
 		std::set<uint64_t> voided;
 		for (size_t ii = 0; ii < _batches.size(); ++ii)
 		{
--- a/tests/core/duty_test.cpp
+++ b/tests/core/duty_test.cpp
@@ -1,4 +1,4 @@
-/// A duty is done by one router at a time, whatever becomes of routers, store and platform.
+/// A duty has at most one active holder at a time, whatever faults occur in routers, store and platform.
 #include "spanplank/duty.h"
 
 #include <fmt/format.h>
@@ -42,7 +42,7 @@
 	uint64_t token = 0;
 	uint64_t window = 0;
 	AccountCounts counts;
-	bool late = false; ///< Carried out after its sender had given it up.
+	bool late = false; ///< Executed after its sender had given up on it.
 };
 
 struct Write
@@ -55,11 +55,11 @@
 struct StoreState
 {
 	DutyRecord record;
-	uint64_t revision = 0; ///< 0: the record is absent.
+	uint64_t revision = 0; ///< 0 if there is no record.
 	uint64_t newest = 1;
 };
 
-/// Routers that believe more or less rightly that they are the first of the tree, a store and a platform.
+/// Routers that assume, correctly or not, that they are the root of the tree, with a store and a platform.
 struct Simulation
 {
 	Random random;
@@ -69,7 +69,7 @@
 	uint64_t era = 1;
 	std::vector<Write> lateWrites;
 	std::vector<Call> lateCalls;
-	std::vector<Call> deliveredCalls; ///< In order, accepted ones and refused ones.
+	std::vector<Call> deliveredCalls; ///< In the order of delivery, accepted and rejected ones.
 	std::map<uint64_t, std::set<AccountCounts>> accepted;
 	uint64_t highestToken = 0;
 	bool fencing = true;
@@ -89,7 +89,7 @@
 		return nextUnit(random) < _chance;
 	}
 
-	/// @returns The position of the write; 0: its condition does not hold.
+	/// @returns The position of the write, or 0 if its condition does not hold.
 	uint64_t write(uint64_t _expected, const DutyRecord& _record)
 	{
 		const uint64_t present = positionOf(era, store.revision);
@@ -102,7 +102,7 @@
 		return positionOf(era, store.revision);
 	}
 
-	/// @returns Whether the platform took it.
+	/// @returns Whether the platform accepted the call.
 	bool deliverCall(const Call& _call)
 	{
 		deliveredCalls.push_back(_call);
@@ -209,8 +209,7 @@
 		}
 		if (randomChance(0.003))
 		{
-			const DutyIdentity self{router.self.box,
-									router.self.incarnation + 100}; // Its process starts again.
+			const DutyIdentity self{router.self.box, router.self.incarnation + 100}; // The process restarts.
 			router = {};
 			router.self = self;
 			router.assumesRoot = true;
@@ -272,7 +271,7 @@
 	{
 		for (const auto& [window, reports] : accepted)
 		{
-			EXPECT_EQ(reports.size(), 1u) << "window " << window << " was reported in two ways";
+			EXPECT_EQ(reports.size(), 1u) << "window " << window << " was reported with different contents";
 		}
 		std::map<uint64_t, DutyIdentity> holderOf;
 		uint64_t highest = 0;
@@ -282,13 +281,13 @@
 			EXPECT_TRUE(first || known->second.box == call.from.box) << "token " << call.token;
 			if (!call.late)
 			{
-				EXPECT_GE(call.token, highest) << "a holder acted after the next one";
+				EXPECT_GE(call.token, highest) << "a holder acted after its successor";
 				highest = std::max(highest, call.token);
 			}
 		}
 	}
 
-	/// Nobody acts, then another one, then the first again within the lease.
+	/// Checks that no router acts, is followed by another one and acts again within the lease.
 	void checkHandOvers() const
 	{
 		std::vector<Call> handOvers;
@@ -360,10 +359,10 @@
 	EXPECT_NE(nextDutyStep(state, self, kTiming, wallAt(early + 1), early + 1).action, DutyAction::Wait);
 }
 
-// A holder that lost its place in the tree for a moment (a call of the store failed, a list was read anew)
-// gave the duty up, took it again and waited a whole lease: four times in 20 s it came back too late to
-// report. The lines that settled it: usage_duty_written why="take" of one box at 39.9, 43.7 and 49.5 s, no
-// report between.
+// Guards against a holder that gives up the duty when it is not the root for a moment, because a call to the
+// store failed or a list was reloaded. It then acquired the duty again and waited a whole lease each time
+// (four times in 20 s), so that no report was sent in time. In the log: usage_duty_written with why="take"
+// from one box at 39.9, 43.7 and 49.5 s without a report in between.
 TEST(Duty, AHolderThatIsNotFirstForAMomentKeepsTheDutyAndWaits)
 {
 	DutyState state;
--- a/tests/core/run_once_test.cpp
+++ b/tests/core/run_once_test.cpp
@@ -1,4 +1,5 @@
-/// Run-once guard: histories with loss, crashes, freezes and races, against the naive guard.
+/// Run-once guard: simulated histories with message loss, crashes, frozen processes and races, compared with
+/// a naive guard.
 #include "spanplank/run_once.h"
 
 #include <fmt/format.h>
@@ -13,11 +14,11 @@
 constexpr int64_t kWallStartMs = 1800000000000;
 constexpr TimeUs kStepUs = 20 * kMsToUs;
 
-/// A message or a forward that is under way in the modelled world.
+/// A message or a forwarded call in flight in the simulation.
 struct Event
 {
-	std::string to;   ///< Incarnation.
-	std::string from; ///< Incarnation.
+	std::string to;   ///< Incarnation of the receiver.
+	std::string from; ///< Incarnation of the sender.
 	std::variant<Intent, IntentReply, Outcome, RecordsRequest, RecordsMessage, HomeTable, RunCall,
 				 GuardedCall>
 		what;
@@ -30,7 +31,7 @@
 	bool frozen = false;
 };
 
-/// Members, a store, callers that repeat keys, and everything that goes wrong between them.
+/// Members, a store and callers that repeat keys, with faults injected between them.
 struct Simulation
 {
 	Random random;
@@ -40,10 +41,10 @@
 	HomeTable stored;
 	bool storeDown = false;
 	std::deque<Event> inFlight;
-	std::vector<std::optional<int64_t>> keys;           ///< Births of the keys that callers have made.
+	std::vector<std::optional<int64_t>> keys;           ///< Creation times of the callers' keys.
 	std::map<std::string, int> executions;              ///< By key.
-	std::map<std::string, TimeUs> unreachableSince;     ///< By pair of incarnations.
-	std::set<std::pair<std::string, std::string>> cuts; ///< Pairs of boxes that can't reach one another.
+	std::map<std::string, TimeUs> unreachableSince;     ///< By pair of incarnations, observer first.
+	std::set<std::pair<std::string, std::string>> cuts; ///< Pairs of boxes that are partitioned.
 	uint64_t nextIncarnation = 1;
 	uint64_t nextAttempt = 1;
 	uint64_t answered = 0;
@@ -95,7 +96,7 @@
 		}
 		else if (const auto* run = std::get_if<RunCall>(&action))
 		{
-			_sim.inFlight.push_back({_self, _self, *run}); // Forwarded later: a freeze may come between.
+			_sim.inFlight.push_back({_self, _self, *run}); // Forwarded later: it may freeze first.
 		}
 		else if (std::holds_alternative<TableAdopted>(action))
 		{
@@ -115,7 +116,7 @@
 	}
 }
 
-/// The forward itself: what the daemon does some time after the guard has agreed.
+/// Forwards a call, as the daemon does some time after the guard has allowed it. One answer in ten is lost.
 void forward(Simulation& _sim, Member& _member, const RunCall& _run, GuardActions& _actions)
 {
 	++_sim.executions[_run.key];
@@ -177,12 +178,12 @@
 	{
 		return;
 	}
-	const size_t at = randomIndex(_sim, std::min<size_t>(4, _sim.inFlight.size())); // Some reordering.
+	const size_t at = randomIndex(_sim, std::min<size_t>(4, _sim.inFlight.size())); // Reorders some messages.
 	const Event event = _sim.inFlight[at];
 	const auto to = _sim.members.find(event.to);
 	if (to != _sim.members.end() && to->second.frozen)
 	{
-		return; // It waits in the socket until the member wakes.
+		return; // The message stays in the socket until the member resumes.
 	}
 	_sim.inFlight.erase(_sim.inFlight.begin() + std::ptrdiff_t(at));
 	const bool own = std::holds_alternative<RunCall>(event.what);
@@ -210,7 +211,7 @@
 		{
 			_sim.unreachableSince.emplace(pair, _sim.now);
 		}
-		const bool confirmedDead = found == _sim.members.end(); // Its box runs another incarnation.
+		const bool confirmedDead = found == _sim.members.end(); // The box runs another incarnation.
 		const MemberStatus status{member.incarnation, member.box, linked,
 								  linked ? 0 : _sim.now - _sim.unreachableSince.at(pair), confirmedDead};
 		statuses.push_back(status);
@@ -218,7 +219,7 @@
 	return statuses;
 }
 
-/// A member looks after the table, as the daemon does. Its write's answer may be lost.
+/// Updates the table as the daemon does. The answer of the write to the store may be lost.
 void updateHomeTable(Simulation& _sim, const std::string& _self)
 {
 	if (_sim.storeDown)
@@ -245,7 +246,8 @@
 	applyActions(_sim, _self, actions);
 }
 
-/// A caller sends a new key or repeats a young one, to its home by some member's table, or to anyone.
+/// Sends a call with a new or a recent key, either to its home according to some member's table or to any
+/// member.
 void sendCall(Simulation& _sim)
 {
 	constexpr size_t kRepeated = 30;
@@ -282,7 +284,7 @@
 	return at->first;
 }
 
-/// Kill -9: the memory is gone, a blank process takes the box.
+/// Kills a member (SIGKILL): its state is lost and a new process starts on the box.
 void crash(Simulation& _sim)
 {
 	const std::string victim = anyMember(_sim);
@@ -401,7 +403,7 @@
 	EXPECT_TRUE(held);
 }
 
-/// The naive guard remembers only what it ran itself: the same histories must catch it.
+/// The naive guard records only its own calls. The same histories must show that it runs calls twice.
 TEST(RunOnceHistory, NaiveGuardIsCaught)
 {
 	RunOnceLimits naive;
@@ -414,7 +416,7 @@
 	EXPECT_GT(caught, 25u);
 }
 
-/// The histories mean nothing if the guard just refuses.
+/// Guards against histories that pass only because the guard refuses every call.
 TEST(RunOnceHistory, CallsAreAnsweredInTheseHistories)
 {
 	uint64_t answered = 0;
@@ -429,7 +431,7 @@
 	EXPECT_GT(run, 500u);
 }
 
-/// Three settled members without a network between them: messages are handed over by hand.
+/// Three synced members without a simulated network: the test delivers messages explicitly.
 struct Group
 {
 	Simulation sim;
@@ -538,7 +540,7 @@
 		deliver(group.sim, event);
 	}
 	ASSERT_EQ(group.sim.executions["k"], 1);
-	group.sim.inFlight.clear(); // The outcome never arrives.
+	group.sim.inFlight.clear(); // The outcome is lost.
 	const std::string box = group.sim.members.at(home).box;
 	group.sim.members.erase(home);
 	startMember(group.sim, box);
@@ -580,7 +582,7 @@
 TEST(RunOnce, LostRecordsPutOldKeysInDoubtButNotYoungOnes)
 {
 	Group group;
-	// Two members die at once: what only they knew is lost.
+	// Two members crash at once: records that only they held are lost.
 	std::vector<std::string> boxes;
 	for (int ii = 0; ii < 2; ++ii)
 	{
@@ -598,13 +600,13 @@
 	const GuardActions old = group.call(home, "k");
 	EXPECT_EQ(std::get<RefuseCall>(old.at(0)).refusal.code, ErrorCode::InDoubt);
 	group.sim.now += 10000 * kMsToUs;
-	const GuardActions young = group.call(home, "k", "body", wallMs(group.sim));
-	EXPECT_TRUE(std::holds_alternative<SendIntent>(young.at(0)));
+	const GuardActions recent = group.call(home, "k", "body", wallMs(group.sim));
+	EXPECT_TRUE(std::holds_alternative<SendIntent>(recent.at(0)));
 	const GuardActions future = group.call(home, "k2", "body", wallMs(group.sim) + 60000);
 	EXPECT_NE(std::get<RefuseCall>(future.at(0)).refusal.run, RunState::Unknown);
 }
 
-/// Calls 100 fresh keys at their homes. @returns How often they ran in all.
+/// Calls 100 new keys at their homes. @returns The total number of executions.
 uint64_t runNewKeys(Group& _group, const std::string& _prefix)
 {
 	uint64_t runs = 0;
@@ -680,10 +682,11 @@
 	}
 	const ProposalInput input{self, false, 200 * kMsToUs, wallMs(group.sim)};
 	ASSERT_TRUE(proposeTable(guard, table, input, statuses).has_value())
-		<< "all settled: a suspicion is enough";
+		<< "all members are synced: a suspicion is enough";
 	table.members[1].settledEpoch = 0;
 	guard.table = table;
-	EXPECT_FALSE(proposeTable(guard, table, input, statuses).has_value()) << "a survivor lacks records";
+	EXPECT_FALSE(proposeTable(guard, table, input, statuses).has_value())
+		<< "a remaining member lacks records";
 	statuses[2].confirmedDead = true;
 	const auto removed = proposeTable(guard, table, input, statuses);
 	ASSERT_TRUE(removed.has_value());
--- a/tests/core/session_token_test.cpp
+++ b/tests/core/session_token_test.cpp
@@ -1,4 +1,4 @@
-/// Session tokens: forged, foreign and old ones are refused.
+/// Session tokens: forged, expired and other accounts' tokens are rejected.
 #include "spanplank/session_token.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/usage_ledger_test.cpp
+++ b/tests/core/usage_ledger_test.cpp
@@ -1,4 +1,4 @@
-/// Usage that is counted at every router comes together once, whatever becomes of the links between them.
+/// Usage counted at every router is aggregated exactly once, whatever happens to the links between routers.
 #include "spanplank/usage_ledger.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,8 @@
 	ASSERT_EQ(usageUpdateFor(ledger, sent, kUsageUpdateIntervalUs).size(), 1u);
 	EXPECT_TRUE(usageUpdateFor(ledger, sent, 2 * kUsageUpdateIntervalUs).empty());
 	countUsage(ledger, "hall-one", kWindow);
-	EXPECT_TRUE(usageUpdateFor(ledger, sent, kUsageUpdateIntervalUs + 1).empty()) << "the pause is not over";
+	EXPECT_TRUE(usageUpdateFor(ledger, sent, kUsageUpdateIntervalUs + 1).empty())
+		<< "the update interval has not passed";
 	EXPECT_EQ(usageUpdateFor(ledger, sent, 3 * kUsageUpdateIntervalUs).size(), 1u);
 	SentUsage next;
 	EXPECT_EQ(usageUpdateFor(ledger, next, 3 * kUsageUpdateIntervalUs).size(), 1u);
@@ -52,8 +53,8 @@
 	EXPECT_TRUE(wire.get<PeerPing>().usage.empty());
 }
 
-// Routers count, lose their parents, tell rows twice and by several ways; one ends. What has come together at
-// the end is what was counted, once, but for what the one that ended had not told.
+// Routers count requests, change their parents and send rows repeatedly and by several paths. In the end the
+// sum at the root equals the number of counted requests.
 TEST(UsageLedgerProperty, CountsComeTogetherOnceWhateverTheLinksDo)
 {
 	constexpr uint32_t kRouters = 8;
@@ -106,14 +107,14 @@
 	EXPECT_TRUE(totalUsage(ledger, 1).empty());
 }
 
-// The clock of a box jumped by seconds and back; usage fell into windows that were not those of true time.
+// Guards against a box's clock that jumps by seconds and back, so that usage is counted in the wrong windows.
 TEST(WallClock, AJumpOfTheBoxesClockDoesNotMoveTheTimeOfDay)
 {
 	constexpr TimeUs kStart = 1000000 * kMsToUs;
 	constexpr TimeUs kJump = 2400 * kMsToUs;
 	WallClock clock;
 	EXPECT_EQ(wallTime(clock, kStart, 0), kStart);
-	EXPECT_EQ(wallTime(clock, kStart + 2000, 1000), kStart + 2000) << "small corrections are taken";
+	EXPECT_EQ(wallTime(clock, kStart + 2000, 1000), kStart + 2000) << "small corrections are applied";
 	EXPECT_EQ(wallTime(clock, kStart + kJump, 2000), kStart + 3000);
 	EXPECT_EQ(wallTime(clock, kStart - kJump, 3000), kStart + 4000);
 }
