--- a/include/spanplank/upstream_table.h
+++ b/include/spanplank/upstream_table.h
@@ -65,7 +65,7 @@
 	UpstreamRecord record;
 	UpstreamKey key = 0;
 	bool registered = false;
-	TimeUs goneAt = 0;    ///< When its registration went; 0: it has one.
+	TimeUs goneAt = 0;       ///< When its registration went; 0: it has one.
 	RemovalAssessment lapse; ///< What it told when its registration went.
 	uint32_t inFlight = 0;
 	double prefillMs = 0.0; ///< Expected reading time of the prompts sent there that have no first token yet.
--- a/src/core/config_replica.cpp
+++ b/src/core/config_replica.cpp
@@ -1,3 +1,4 @@
+/// Applies updates and halts to a replica of the configuration, and answers look-ups in it.
 #include "spanplank/config_replica.h"
 
 #include <algorithm>
--- a/src/core/peer_follow.cpp
+++ b/src/core/peer_follow.cpp
@@ -1,4 +1,4 @@
-/// Leaving and searching a parent, with the limits behind it.
+/// Decides when to leave a parent and when to search for another one, with the timeouts of both.
 #include "spanplank/peer_follow.h"
 
 #include <algorithm>
@@ -7,24 +7,29 @@
 {
 namespace
 {
-constexpr TimeUs kLinkTimeoutUs = 1500 * kMsToUs; ///< For a new link to come up and answer.
-/// For a parent that has answered before. Those next to a first of all that fell silent have another by the
-/// time that the proofs of the levels below them grow old, and these need not ask the store.
+/// Time for the link to a new parent to open and for its first answer.
+constexpr TimeUs kLinkTimeoutUs = 1500 * kMsToUs;
+/// Time without an answer of a parent that has answered before. Followers of a root that becomes unresponsive
+/// have another parent before the confirmations of the levels below are too old, so that these need not call
+/// the store.
 constexpr TimeUs kAnswerTimeoutUs = 800 * kMsToUs;
-/// Own calls in a row that failed, before this router counts as cut off: one may be lost.
+/// Failed own calls in a row from which the store counts as unreachable: a single one may be lost.
 constexpr uint32_t kMinStoreFailures = 2;
-/// For a parent next to the first of all to prove something, before another is tried; four times that for
-/// each level below: the routers above search first, and prove it to all that follow them.
+/// Time without a confirmation from which a follower of the root searches for another parent; four times as
+/// much for each further level: the routers above search first, and then confirm to all their followers.
 constexpr TimeUs kConfirmationTimeoutUs = 1000 * kMsToUs;
 constexpr uint32_t kMaxTimeoutLevels = 3;
-/// Own calls failed within this time: the store was away from all, and the parent may be back in a moment.
+/// Time after a failed own call in which the store may have been unreachable for all routers, so that the
+/// parent may reach it again in a moment.
 constexpr TimeUs kOutageRecoveryUs = 3000 * kMsToUs;
-/// Between searches, doubled each time: while the store is away from all, each search only breaks a link.
+/// Pause after the first search, doubled by each further one: while the store is unreachable for all routers,
+/// a search only closes a link.
 constexpr TimeUs kSearchPauseUs = 1000 * kMsToUs;
 constexpr uint32_t kMaxSearchDoublings = 3;
-constexpr TimeUs kProbePeriodUs = 3000 * kMsToUs; ///< Calls of a detached router whose parent proves.
+/// Pause between own store calls of a detached router whose parent confirms.
+constexpr TimeUs kProbePeriodUs = 3000 * kMsToUs;
 
-/// @returns Routers between this one and the store, as far as they are known; at least 1.
+/// @returns The number of routers between this one and the store, as far as it is known; at least 1.
 uint32_t levelsAbove(const FollowState& _state)
 {
 	return uint32_t(std::max<size_t>(1, _state.chain.size()));
@@ -66,7 +71,8 @@
 	{
 		return FollowAction::LeaveCycle;
 	}
-	// Those next to the one that is cut off leave first: the levels below are proved again by then, and stay.
+	// Direct followers of a router that can't reach the store leave it first. By the time the levels below
+	// would leave, they receive confirmations again and stay.
 	const bool afterOutage = _state.storeFailedAt != 0 && _now - _state.storeFailedAt < kOutageRecoveryUs;
 	if (_state.hasParent && _state.unconfirmedCalls >= levelsAbove(_state) + (afterOutage ? 1 : 0))
 	{
--- a/src/core/peer_tree.cpp
+++ b/src/core/peer_tree.cpp
@@ -1,4 +1,4 @@
-/// The order of the routers and the choice of the one to follow.
+/// Ranks the routers and chooses the parent.
 #include "spanplank/peer_tree.h"
 
 #include <algorithm>
@@ -8,24 +8,26 @@
 {
 namespace
 {
-/// Followers for a whole core. One costs some 0.0005 of a core without sockets (`bench/peer_pings.cpp`), at
-/// most twice that with them: a twentieth of the core. Without a bound, and with full tables of loads in each
-/// ping, a quiet day of 103 routers on boxes of 0.09 to 0.5 core was worth 0.730, with both 0.785 (one play
-/// each).
+/// Followers per core. A follower costs about 0.0005 cores without sockets (`bench/peer_pings.cpp`) and at
+/// most twice that with them, so that all of them together take a twentieth of the core. Without this limit,
+/// and with complete load tables in each ping, a quiet day of 103 routers on boxes of 0.09 to 0.5 cores
+/// scored 0.730; with the limit and with changed loads only it scored 0.785 (one run each).
 constexpr double kFollowersPerCore = 50.0;
-/// Followers for each Mbit/s of the link. One takes 25 kB/s of loads and homes (`bench/peer_pings.cpp`): a
-/// fifth.
+/// Followers per Mbit/s of the link. A follower takes 25 kB/s for loads and homes (`bench/peer_pings.cpp`),
+/// so that all of them together take a fifth of the link.
 constexpr double kFollowersPerMbps = 1.0;
-constexpr double kMinFollowers = 2.0;  ///< With fewer the levels are as many as the routers.
-constexpr double kMaxFollowers = 64.0; ///< Links of one process.
-/// Of its followers, the part that the first of a hall keeps for the firsts of other halls.
+/// With fewer followers each, the tree would have as many levels as routers.
+constexpr double kMinFollowers = 2.0;
+constexpr double kMaxFollowers = 64.0; ///< Limit of the links of a process.
+/// Share of the followers of a hall's first router that is reserved for the first routers of other halls.
 constexpr double kOtherHallsShare = 0.5;
 
-/// Routers by rank, the first first.
+/// Routers by rank, highest first.
 using RankedPeers = std::vector<const PeerRecord*>;
 
-/// Larger boxes rank first: those that bear twice as many followers. Within a size chance decides, so that a
-/// fleet's tops are not all in one place.
+/// @returns The size class of a box, the binary logarithm of its maximum number of followers. Larger classes
+/// rank first; within a class the hash decides, so that the highest-ranked routers of a fleet are not all in
+/// one place.
 uint32_t sizeClass(const PeerRecord& _record)
 {
 	uint32_t followers = maxFollowers(_record.capacity);
@@ -37,7 +39,7 @@
 	return size;
 }
 
-/// A router with what it is ranked by, found once for all comparisons.
+/// A router with its sort keys, which are computed once for all comparisons.
 struct PeerRank
 {
 	const PeerRecord* record = nullptr;
@@ -59,28 +61,30 @@
 	return _one.hash != _other.hash ? _one.hash < _other.hash : _one.record->box < _other.record->box;
 }
 
-/// How many routers of its hall may follow one, by its place there.
+/// @returns The number of routers of its hall that may follow the one at a place of the hall's ranking.
 size_t followersInHall(const PeerRecord& _record, size_t _place)
 {
-	const uint32_t most = maxFollowers(_record.capacity);
-	return _place == 0 ? size_t(std::max(1.0, most * (1.0 - kOtherHallsShare))) : most;
+	const uint32_t limit = maxFollowers(_record.capacity);
+	return _place == 0 ? size_t(std::max(1.0, limit * (1.0 - kOtherHallsShare))) : limit;
 }
 
+/// @returns The number of first routers of other halls that may follow the first router of a hall.
 size_t followersAcrossHalls(const PeerRecord& _record, size_t)
 {
 	return size_t(std::max(1.0, maxFollowers(_record.capacity) * kOtherHallsShare));
 }
 
-/// @returns The router that takes the one at a place as its follower; null: the first follows none.
-template <typename MostFollowersAt>
-const PeerRecord* parentOf(const RankedPeers& _ranked, const PeerRecord* _self, MostFollowersAt _most)
+/// @returns The router of a ranking that `_self` follows; null if `_self` is its first.
+template <typename MaxFollowersAt>
+const PeerRecord* parentOf(const RankedPeers& _ranked, const PeerRecord* _self,
+						   MaxFollowersAt _maxFollowersAt)
 {
-	const size_t own = size_t(std::find(_ranked.begin(), _ranked.end(), _self) - _ranked.begin());
-	size_t taken = 0;
-	for (size_t place = 0; place < own; ++place)
+	const size_t selfPlace = size_t(std::find(_ranked.begin(), _ranked.end(), _self) - _ranked.begin());
+	size_t followerSlots = 0;
+	for (size_t place = 0; place < selfPlace; ++place)
 	{
-		taken += _most(*_ranked[place], place);
-		if (taken >= own)
+		followerSlots += _maxFollowersAt(*_ranked[place], place);
+		if (followerSlots >= selfPlace)
 		{
 			return _ranked[place];
 		}
@@ -88,7 +92,7 @@
 	return nullptr;
 }
 
-/// @returns This router and those that may be followed, by rank.
+/// @returns This router and those that are not avoided, by rank.
 RankedPeers rankPeers(const PeerTree& _tree, TimeUs _now)
 {
 	std::vector<PeerRank> ranks;
@@ -101,9 +105,9 @@
 	}
 	std::sort(ranks.begin(), ranks.end(), ranksBefore);
 	const PeerRank self = rankOf(_tree.self);
-	const auto own =
+	const auto selfPlace =
 		_tree.selfRanksLast ? ranks.end() : std::lower_bound(ranks.begin(), ranks.end(), self, ranksBefore);
-	ranks.insert(own, self);
+	ranks.insert(selfPlace, self);
 	RankedPeers ranked;
 	for (const PeerRank& rank : ranks)
 	{
@@ -122,7 +126,7 @@
 	PeerEntry& entry = _tree.peers[_record.box];
 	if (entry.record.address != _record.address)
 	{
-		entry = PeerEntry{}; // Another box took over the name: it starts afresh.
+		entry = PeerEntry{}; // Another box has taken over the name: its failures are reset.
 	}
 	entry.record = _record;
 }
--- a/src/core/planned_stop.cpp
+++ b/src/core/planned_stop.cpp
@@ -1,4 +1,4 @@
-/// Admission in a planned stop and the time after which refused callers come back.
+/// Admission of requests during a planned stop, and the Retry-After of those that are refused.
 #include "spanplank/planned_stop.h"
 
 #include <algorithm>
@@ -7,10 +7,11 @@
 {
 namespace
 {
-constexpr uint32_t kOtherRouterMs = 20; ///< Another router takes the request at once.
-/// From the end of a process until its successor has read the configuration and the balancer has seen it.
+constexpr uint32_t kOtherRouterMs = 20; ///< Retry-After where another router can accept the request at once.
+/// Time from the end of a process until its successor has read the configuration and the balancer has
+/// detected it.
 constexpr uint32_t kRestartMs = 1200;
-constexpr uint32_t kReturnSpreadMs = 600; ///< Refused callers do not come back all at once.
+constexpr uint32_t kReturnSpreadMs = 600; ///< Spreads the retries of refused callers.
 
 bool hasBalancerDetected(const PlannedStop& _stop, TimeUs _at)
 {
--- a/src/core/record_fault.cpp
+++ b/src/core/record_fault.cpp
@@ -1,4 +1,4 @@
-/// The names of what can be wrong with a record.
+/// Names of record faults.
 #include "spanplank/record_fault.h"
 
 #include <utility>
--- a/src/core/region_limit.cpp
+++ b/src/core/region_limit.cpp
@@ -1,4 +1,4 @@
-/// Halls of the regions that a route and an account name.
+/// Determines the halls in the regions that a route and an account allow.
 #include "spanplank/region_limit.h"
 
 #include <algorithm>
--- a/src/core/service_config.cpp
+++ b/src/core/service_config.cpp
@@ -1,4 +1,4 @@
-/// Look-up of routes, accounts and services in a configuration; when a new one comes into force.
+/// Looks up routes, accounts and services in a configuration, and replaces the one in force by a newer one.
 #include "spanplank/service_config.h"
 
 #include <algorithm>
--- a/src/core/store_contact.cpp
+++ b/src/core/store_contact.cpp
@@ -1,4 +1,4 @@
-/// Judgement of the store's outages by its proofs and by the times in which this process ran.
+/// Detects outages of the store from its confirmations and the stalls of this process.
 #include "spanplank/store_contact.h"
 
 #include <algorithm>
@@ -17,14 +17,14 @@
 	return std::max<TimeUs>(0, std::min(_stall.to, _to) - std::max(_stall.from, _from));
 }
 
-/// @returns The step that is under way, less the time that a running process may take for it.
+/// @returns The part of the current step that exceeds `kMaxRunStepUs`; an empty interval if none does.
 Stall currentStall(const StoreContact& _contact, TimeUs _now)
 {
 	const TimeUs from = _contact.lastRunAt == 0 ? _now : _contact.lastRunAt + kMaxRunStepUs;
 	return {std::min(from, _now), _now};
 }
 
-/// @returns Time since the last proof in which this process ran.
+/// @returns The time from the last confirmation to `_until`, less the stalls.
 TimeUs unconfirmedTimeUntil(const StoreContact& _contact, TimeUs _until, TimeUs _now)
 {
 	const TimeUs from = _contact.confirmedAt;
--- a/src/core/timeline.cpp
+++ b/src/core/timeline.cpp
@@ -1,3 +1,4 @@
+/// Records events with hybrid logical timestamps, and merges the events of several processes.
 #include "spanplank/timeline.h"
 
 #include <algorithm>
--- a/src/core/wall_clock.cpp
+++ b/src/core/wall_clock.cpp
@@ -1,4 +1,4 @@
-/// Time of day over jumps of the box's clock.
+/// Keeps the time of day continuous when the clock of the box jumps.
 #include "spanplank/wall_clock.h"
 
 #include <cstdlib>
--- a/src/direct/check_request.cpp
+++ b/src/direct/check_request.cpp
@@ -20,7 +20,8 @@
 void awaitFirstConfig(const DirectRouter& _router)
 {
 	const TimeUs until = _router.startedAt + kBlankWait;
-	while (_router.config.confirmedAt == 0 && monotonicNow() < until && _router.peers.follow.storeFailures == 0)
+	while (_router.config.confirmedAt == 0 && monotonicNow() < until &&
+		   _router.peers.follow.storeFailures == 0)
 	{
 		sleepFor(kBlankPollMs);
 	}
--- a/src/direct/store_rollouts.cpp
+++ b/src/direct/store_rollouts.cpp
@@ -34,7 +34,8 @@
 		RolloutOrder order = platform::decodeRolloutOrder(_item.value);
 		order.service = afterPrefix(_item.key, platform::kOrderPrefix);
 		// One that starts within a trial may have used its credit before.
-		_router.trials.credited = _router.view.listed && countHigherRanked(_router.peers.tree) < kExposureCredits;
+		_router.trials.credited =
+			_router.view.listed && countHigherRanked(_router.peers.tree) < kExposureCredits;
 		if (!takeOrder(_router.trials, order, _item.revision, likelyWrittenAt(_router, _now)))
 		{
 			return;
--- a/tests/core/change_log_test.cpp
+++ b/tests/core/change_log_test.cpp
@@ -1,4 +1,4 @@
-/// What a router can tell a follower that missed changes of the store.
+/// Changes that a router can send to a follower that missed some.
 #include "spanplank/change_log.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 	return changes;
 }
 
-RC_GTEST_PROP(ChangeLog, WhoeverIsCoveredGetsEveryChangeThatItMissedAndNoOther, ())
+RC_GTEST_PROP(ChangeLog, AFollowerWithinTheLogReceivesExactlyTheChangesThatItMissed, ())
 {
 	ChangeLog log;
 	uint64_t newest = 100;
@@ -40,12 +40,12 @@
 	}
 }
 
-TEST(ChangeLog, WhoeverKnowsLessThanTheLogReachesBackIsNotMisled)
+TEST(ChangeLog, AFollowerFromBeforeTheLogReceivesNoChanges)
 {
 	ChangeLog log;
 	recordChanges(log, changeOf(100, 103));
 	const StoreChanges since = changesSince(log, 99, 103);
-	EXPECT_EQ(since.from, 103u) << "a follower at 99 sees that it can not go on from here";
+	EXPECT_EQ(since.from, 103u) << "a follower at 99 must detect that the changes don't continue from there";
 	EXPECT_TRUE(since.items.empty());
 }
 
@@ -56,7 +56,8 @@
 	recordChanges(log, changeOf(105, 106));
 	EXPECT_EQ(changesSince(log, 103, 106).from, 106u);
 	EXPECT_EQ(changesSince(log, 105, 106).items.size(), 1u);
-	EXPECT_EQ(changesSince(log, 105, 108).from, 108u) << "it ends before what the router knows";
+	EXPECT_EQ(changesSince(log, 105, 108).from, 108u)
+		<< "the log ends before the newest revision of the router";
 }
 
 TEST(ChangeLog, ItKeepsBoundedMemory)
@@ -69,7 +70,7 @@
 	EXPECT_LE(log.bytes, kMaxLogBytes);
 	EXPECT_LE(log.changes.size(), 10u);
 	recordChanges(log, changeOf(100, 101, 2 * kMaxLogBytes));
-	EXPECT_TRUE(log.changes.empty()) << "one that is too large is not kept";
+	EXPECT_TRUE(log.changes.empty()) << "a batch above the limit is not retained";
 	EXPECT_EQ(log.bytes, 0u);
 }
 } // namespace
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -1,4 +1,5 @@
-/// Configuration replica: any order, loss and repetition of updates ends in the same state and never reverts.
+/// Configuration replica: updates in any order, repeated or lost, lead to the same state, which never
+/// reverts.
 #include "spanplank/config_replica.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +40,7 @@
 {
 	const bool passed = rc::check("newest wins", [](const std::vector<uint8_t>& _order) {
 		ConfigReplica replica;
-		std::map<std::string, uint64_t> newest; // The naive replica: the highest revision by name.
+		std::map<std::string, uint64_t> newest; // Reference model: the highest revision by name.
 		uint64_t revision = 0;
 		for (const uint8_t number : _order)
 		{
@@ -76,7 +77,7 @@
 	EXPECT_FALSE(mayServe(replica, "v", false));
 	EXPECT_FALSE(mayServe(replica, "v", true));
 	apply(replica, updateOf(1, 2, {versionAt("v", 2, VersionState::Serving)}));
-	EXPECT_FALSE(mayServe(replica, "v", false)) << "the same generation must not come back";
+	EXPECT_FALSE(mayServe(replica, "v", false)) << "the same generation must not serve again";
 	apply(replica, updateOf(2, 3, {versionAt("v", 3, VersionState::Serving, 2)}));
 	EXPECT_TRUE(mayServe(replica, "v", false));
 }
--- a/tests/core/peer_follow_test.cpp
+++ b/tests/core/peer_follow_test.cpp
@@ -1,4 +1,4 @@
-/// When a router leaves the one that it follows.
+/// When a router leaves its parent or searches for another one.
 #include "spanplank/peer_follow.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 	return state;
 }
 
-TEST(PeerFollow, AParentThatAnswersAndProvesIsKept)
+TEST(PeerFollow, AParentThatAnswersAndConfirmsIsRetained)
 {
 	FollowState state = followed();
 	EXPECT_EQ(nextFollowAction(state, kStart + kSecond / 2), FollowAction::Keep);
@@ -46,7 +46,7 @@
 	EXPECT_EQ(state.unconfirmedCalls, 0u);
 }
 
-TEST(PeerFollow, RoutersNextToTheFirstOfAllAskBeforeTheLevelsBelow)
+TEST(PeerFollow, FollowersOfTheRootCallTheStoreBeforeTheLevelsBelow)
 {
 	FollowState next = followed();
 	FollowState below = followed();
@@ -66,12 +66,14 @@
 		EXPECT_EQ(nextFollowAction(state, now), FollowAction::LeaveStale);
 	}
 	recordParentAnswer(state, kRecentAge, kChain, kSelf, kStart + 6 * kSecond);
-	EXPECT_EQ(nextFollowAction(state, kStart + 6 * kSecond), FollowAction::Keep) << "it is back";
+	EXPECT_EQ(nextFollowAction(state, kStart + 6 * kSecond), FollowAction::Keep)
+		<< "the parent reaches the store again";
 }
 
-// A router that had just started asked the store, met its parent while that call was under way, and left it
-// for the call: "peer_lost why=it does not reach the store" 0.18 s after peer_followed with a proof of 65 ms.
-TEST(PeerFollow, ACallFromBeforeTheParentAnsweredSaysNothingOfIt)
+// Guards against leaving a new parent because of a store call that was sent before the parent's first answer.
+// A router that had just started logged "peer_lost why=it does not reach the store" 0.18 s after
+// peer_followed, although the parent's confirmation was 65 ms old.
+TEST(PeerFollow, ACallFromBeforeTheParentAnsweredIsNotHeldAgainstIt)
 {
 	FollowState state;
 	recordParent(state, true, kStart);
@@ -100,7 +102,7 @@
 	EXPECT_EQ(callsUntilLeaving({4, 3, 2}), 3u);
 }
 
-TEST(PeerFollow, ARouterThatIsCutOffKeepsAParentThatProves)
+TEST(PeerFollow, ARouterThatIsCutOffRetainsAParentThatConfirms)
 {
 	FollowState state = followed();
 	for (TimeUs now = kStart; now < kStart + 9 * kSecond; now += kSecond / 2)
@@ -128,11 +130,12 @@
 		}
 	}
 	EXPECT_GE(searches, 3u);
-	EXPECT_LE(searches, 6u) << "while the store is away from all, each search only breaks a link";
+	EXPECT_LE(searches, 6u) << "while the store is unreachable for all routers, a search only closes a link";
 	EXPECT_FALSE(isProbeDue(state, kStart + 20 * kSecond));
-	EXPECT_TRUE(isProbeDue(state, kStart + 25 * kSecond)) << "it must learn that the store is back";
+	EXPECT_TRUE(isProbeDue(state, kStart + 25 * kSecond))
+		<< "it must detect that the store is reachable again";
 	recordStoreReached(state, kStart + 25 * kSecond);
-	EXPECT_FALSE(state.detached) << "it takes its rank again at once";
+	EXPECT_FALSE(state.detached) << "it returns to its rank at once";
 	EXPECT_FALSE(isProbeDue(state, kStart + 25 * kSecond));
 }
 
@@ -146,7 +149,7 @@
 	EXPECT_EQ(nextFollowAction(state, kStart + 5 * kSecond), FollowAction::Search);
 }
 
-TEST(PeerFollow, InARingTheOneThatReachesTheStoreLeaves)
+TEST(PeerFollow, InACycleTheRouterThatReachesTheStoreLeaves)
 {
 	FollowState reaches = followed();
 	recordParentAnswer(reaches, kRecentAge, kCycle, kSelf, kStart + kSecond);
@@ -157,10 +160,11 @@
 	recordStoreFailed(cut, kStart + kSecond);
 	EXPECT_EQ(nextFollowAction(cut, kStart + kSecond), FollowAction::Keep);
 	recordParentAnswer(cut, kRecentAge, kCycle, kSelf, kStart + 6 * kSecond);
-	EXPECT_EQ(nextFollowAction(cut, kStart + 6 * kSecond), FollowAction::Search) << "a ring proves nothing";
+	EXPECT_EQ(nextFollowAction(cut, kStart + 6 * kSecond), FollowAction::Search)
+		<< "answers within a cycle confirm nothing";
 }
 
-TEST(PeerFollow, AChainThatNeverEndsIsCutShort)
+TEST(PeerFollow, ALongChainIsTruncated)
 {
 	FollowState state = followed();
 	recordParentAnswer(state, kRecentAge, std::vector<PeerKey>(1000, 7), kSelf, kStart);
--- a/tests/core/peer_tree_test.cpp
+++ b/tests/core/peer_tree_test.cpp
@@ -1,5 +1,5 @@
-/// The tree in which routers follow each other: whom each follows, what it does when that fails; and their
-/// messages.
+/// The tree in which routers follow each other: the choice of the parent, also after failures, and the
+/// messages between them.
 #include "spanplank/peer_tree.h"
 
 #include <algorithm>
@@ -76,7 +76,7 @@
 	EXPECT_EQ(acrossHalls, 3u);
 }
 
-/// Whom each router follows.
+/// @returns The parent of each router, by box.
 std::map<std::string, std::string> parentsOf(const std::vector<PeerRecord>& _all)
 {
 	std::map<std::string, std::string> parents;
@@ -108,7 +108,7 @@
 			++hops;
 			if (hops > _parents.size())
 			{
-				ADD_FAILURE() << "routers follow each other in a ring";
+				ADD_FAILURE() << "routers follow each other in a cycle";
 				return hops;
 			}
 		}
@@ -117,7 +117,7 @@
 	return highest;
 }
 
-TEST(PeerTree, InAFleetWithAFewLargeBoxesTheLargeOnesCarryTheOthers)
+TEST(PeerTree, InAFleetWithAFewLargeBoxesOnlyTheLargeOnesHaveFollowers)
 {
 	const std::vector<PeerRecord> all = mixedFleet(5, 88, 15);
 	const std::map<std::string, std::string> parents = parentsOf(all);
@@ -129,7 +129,7 @@
 	EXPECT_LE(maxHops(parents), 4u);
 }
 
-TEST(PeerTree, InAFleetOfSmallBoxesAloneEachBearsAFewFollowersOverMoreLevels)
+TEST(PeerTree, InAFleetOfSmallBoxesEachHasFewFollowersOverMoreLevels)
 {
 	const std::map<std::string, std::string> parents = parentsOf(fleet(5, 103, kSmall));
 	for (const auto& [parent, count] : followersOf(parents))
@@ -142,7 +142,7 @@
 			  1);
 }
 
-RC_GTEST_PROP(PeerTree, WhateverEachRouterBelievesOfTheOthersNoneFollowEachOtherInARing, ())
+RC_GTEST_PROP(PeerTree, WhateverStateEachRouterAssumesOfTheOthersThereAreNoCycles, ())
 {
 	const size_t halls = *rc::gen::inRange<size_t>(1, 6);
 	const std::vector<PeerRecord> all =
@@ -163,7 +163,7 @@
 	RC_ASSERT(maxHops(parents) <= all.size());
 }
 
-TEST(PeerTree, ABoxThatTellsNoCapacityRanksLastAndBearsTheFewest)
+TEST(PeerTree, ABoxOfUnknownCapacityRanksLastAndMayHaveTheFewestFollowers)
 {
 	std::vector<PeerRecord> all = fleet(1, 4, kSmall);
 	all[0].capacity = {};
@@ -184,10 +184,10 @@
 	EXPECT_NE(chooseParent(tree, kAvoidPeerUs * 2), first);
 	recordFollowed(tree, first);
 	avoidPeer(tree, first, kAvoidPeerUs * 10);
-	EXPECT_EQ(chooseParent(tree, kAvoidPeerUs * 11), first) << "once it was followed it starts afresh";
+	EXPECT_EQ(chooseParent(tree, kAvoidPeerUs * 11), first) << "its failures are reset once it was followed";
 }
 
-TEST(PeerTree, ARouterWhoseRegistrationWentIsNotFollowedANewAddressStartsAfresh)
+TEST(PeerTree, ARouterWithoutRegistrationIsNotFollowedANewAddressResetsItsFailures)
 {
 	const std::vector<PeerRecord> all = fleet(1, 3);
 	PeerTree tree = treeOf(all[0], all);
@@ -199,10 +199,10 @@
 	retainPeers(tree, {});
 	EXPECT_EQ(chooseParent(tree, 0), "");
 	registerPeer(tree, all[0]);
-	EXPECT_TRUE(tree.peers.empty()) << "it is no peer of itself";
+	EXPECT_TRUE(tree.peers.empty()) << "a router must not be its own peer";
 }
 
-TEST(PeerMessages, ComeBackAsTheyWereSent)
+TEST(PeerMessages, DecodingReturnsWhatWasEncoded)
 {
 	PeerPong pong;
 	pong.seq = 3;
--- a/tests/core/planned_stop_test.cpp
+++ b/tests/core/planned_stop_test.cpp
@@ -1,4 +1,4 @@
-/// Planned stops: what is still taken, and when refused callers come back.
+/// Planned stops: which requests are accepted, and when refused callers may retry.
 #include "spanplank/planned_stop.h"
 
 #include <gtest/gtest.h>
@@ -17,21 +17,23 @@
 	EXPECT_TRUE(acceptsRequest({}, kEnd + 60 * kSecond, kSignal));
 }
 
-TEST(PlannedStop, AllAreTakenUntilTheBalancerKnowsThenThoseWhoseDeadlineIsWithinTheStop)
+TEST(PlannedStop, AllAreAcceptedUntilTheBalancerDetectsItThenThoseWhoseDeadlineIsWithinTheStop)
 {
 	EXPECT_TRUE(acceptsRequest(kStop, kEnd + kSecond, kSignal + 2 * kSecond));
 	EXPECT_FALSE(acceptsRequest(kStop, kEnd + kSecond, kSignal + 3 * kSecond));
 	EXPECT_TRUE(acceptsRequest(kStop, kEnd, kSignal + 3 * kSecond));
 }
 
-// A request that came as answers alone were still written was sent to an upstream and cut there.
+// Guards against a request that arrives when only answers are still written: it was sent to an upstream and
+// aborted.
 TEST(PlannedStop, NoneIsTakenInTheTimeThatIsLeftForAnswers)
 {
-	const PlannedStop brief{kSignal, kSignal + kSecond}; // It ends before the balancer knows.
+	const PlannedStop brief{kSignal, kSignal + kSecond}; // It ends before the balancer has detected it.
 	EXPECT_TRUE(acceptsRequest(brief, kEnd, brief.endsAt - kAnswerReserveUs - 1));
 	EXPECT_FALSE(acceptsRequest(brief, kEnd, brief.endsAt - kAnswerReserveUs));
 	EXPECT_FALSE(acceptsRequest(brief, brief.endsAt, brief.endsAt - 1));
-	EXPECT_FALSE(acceptsRequest(brief, kEnd, brief.endsAt + kSecond)) << "late, as the process was not run";
+	EXPECT_FALSE(acceptsRequest(brief, kEnd, brief.endsAt + kSecond))
+		<< "the time is past the end, as the process was not scheduled";
 }
 
 TEST(PlannedStop, OnAnOldConnectionTheCallerGoesToAnotherRouterAtOnce)
@@ -40,14 +42,14 @@
 	EXPECT_LT(retryAfterStopMs(kStop, kSignal + kSecond, kSignal + 3 * kSecond, 1.0), 100u);
 }
 
-TEST(PlannedStop, ACallerWhoWasSentHereThoughTheBalancerKnowsComesBackAfterTheRestart)
+TEST(PlannedStop, ACallerThatArrivesAfterTheBalancerDetectedItRetriesAfterTheRestart)
 {
 	const TimeUs now = kSignal + 4 * kSecond;
-	const TimeUs back = now + retryAfterStopMs(kStop, now, now, 0.0) * kMsToUs;
-	EXPECT_GE(back, kEnd + kSecond);
-	EXPECT_LT(back, kEnd + 3 * kSecond);
+	const TimeUs retryAt = now + retryAfterStopMs(kStop, now, now, 0.0) * kMsToUs;
+	EXPECT_GE(retryAt, kEnd + kSecond);
+	EXPECT_LT(retryAt, kEnd + 3 * kSecond);
 	EXPECT_GT(retryAfterStopMs(kStop, now, now, 1.0), retryAfterStopMs(kStop, now, now, 0.0))
-		<< "not all at once";
+		<< "the retries must be spread";
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/region_limit_test.cpp
+++ b/tests/core/region_limit_test.cpp
@@ -1,4 +1,4 @@
-/// Routes and accounts that are limited to regions.
+/// Restriction of routes and accounts to regions.
 #include "spanplank/region_limit.h"
 
 #include <gtest/gtest.h>
@@ -20,14 +20,16 @@
 	const HallLimit limit = limitHalls(kRegions, {"south"}, {});
 	EXPECT_TRUE(isAllowed(limit, "south-b"));
 	EXPECT_FALSE(isAllowed(limit, "north-a"));
-	EXPECT_FALSE(isAllowed(limit, "unknown")) << "a hall of an unknown region is in none that is named";
+	EXPECT_FALSE(isAllowed(limit, "unknown"))
+		<< "a hall without a known region is in none of the allowed ones";
 }
 
 TEST(RegionLimit, RouteAndAccountBothHaveToAllowIt)
 {
 	EXPECT_TRUE(isAllowed(limitHalls(kRegions, {"south", "north"}, {"north"}), "north-a"));
 	EXPECT_FALSE(isAllowed(limitHalls(kRegions, {"south", "north"}, {"north"}), "south-a"));
-	EXPECT_FALSE(isAllowed(limitHalls(kRegions, {"south"}, {"north"}), "south-a")) << "nobody may";
+	EXPECT_FALSE(isAllowed(limitHalls(kRegions, {"south"}, {"north"}), "south-a"))
+		<< "no hall is allowed by both";
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/service_config_test.cpp
+++ b/tests/core/service_config_test.cpp
@@ -1,4 +1,4 @@
-/// Routes, keys and the configuration cache of direct mode.
+/// Routes and the configuration cache of direct mode.
 #include "spanplank/service_config.h"
 
 #include <gtest/gtest.h>
@@ -67,10 +67,10 @@
 	EXPECT_TRUE(adoptConfig(cache, configOf(9)));
 }
 
-TEST(ConfigCache, IsFreshOnlyWithinTheBoundOfAProof)
+TEST(ConfigCache, IsFreshOnlyWithinTheBoundAfterAConfirmation)
 {
 	ConfigCache cache;
-	EXPECT_FALSE(isConfirmedFresh(cache, 1, 1000)) << "nothing was ever proved";
+	EXPECT_FALSE(isConfirmedFresh(cache, 1, 1000)) << "there was no confirmation yet";
 	cache.confirmedAt = 5000;
 	EXPECT_TRUE(isConfirmedFresh(cache, 5999, 1000));
 	EXPECT_FALSE(isConfirmedFresh(cache, 6000, 1000));
--- a/tests/core/store_contact_test.cpp
+++ b/tests/core/store_contact_test.cpp
@@ -1,4 +1,4 @@
-/// Outages of the store, judged by its proofs and by the times in which this process ran.
+/// Detection of store outages from its confirmations and the stalls of this process.
 #include "spanplank/store_contact.h"
 
 #include <gtest/gtest.h>
@@ -41,11 +41,12 @@
 	}
 };
 
-// Twelve of thirty routers had no proof for 2947 ms, as the store turned the first of them away and the
-// others followed each other; the store served the rest all along. An upstream that left then was used by the
-// twelve for up to 2.88 s after the first router had heard of it (upstream_unregistered why="store away"
-// silence_ms="2958"): an outage counted from two heartbeats, though a registration lapses after three.
-TEST_F(StoreContactTest, ATimeWithoutProofsThatIsShorterThanThreeHeartbeatsIsNoOutage)
+// Guards against counting two missed heartbeats as an outage, though a registration lapses after three.
+// Twelve of thirty routers had no confirmation for 2947 ms, as the store rejected the first of them and the
+// others followed each other, while it served all other routers. The twelve used an upstream that had shut
+// down for up to 2.88 s after the first router had learned of it (upstream_unregistered why="store away"
+// silence_ms="2958").
+TEST_F(StoreContactTest, LessThanThreeHeartbeatsWithoutConfirmationAreNoOutage)
 {
 	run(2960 * kMsToUs);
 	EXPECT_EQ(cause(), RemovalCause::Deregistered);
@@ -53,7 +54,7 @@
 	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
-TEST_F(StoreContactTest, ProofsThatAreMissingForThreeHeartbeatsAreAnOutage)
+TEST_F(StoreContactTest, ThreeHeartbeatsWithoutConfirmationAreAnOutage)
 {
 	run(3500 * kMsToUs);
 	EXPECT_EQ(cause(), RemovalCause::Deregistered);
@@ -77,20 +78,20 @@
 	EXPECT_EQ(cause(), RemovalCause::StoreOutage);
 }
 
-TEST_F(StoreContactTest, ShortHeartbeatsMakeNoOutageOfTheGapsBetweenProofsOfAStoreThatIsThere)
+TEST_F(StoreContactTest, ShortHeartbeatsDoNotTurnTheGapsBetweenConfirmationsIntoAnOutage)
 {
 	contact.heartbeatPeriod = 200 * kMsToUs;
 	run(2900 * kMsToUs);
 	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
-// A process that is not run for seconds hears no proof either. Its calls time out when it wakes, and what
-// went meanwhile has left: the store was there.
+// A process that is not scheduled for seconds receives no confirmations, and its calls time out when it
+// resumes. The store was reachable all along, so upstreams whose registrations were removed have shut down.
 TEST_F(StoreContactTest, ATimeInWhichThisProcessWasNotRunIsNoOutage)
 {
 	run(500 * kMsToUs);
 	stall(20 * kSecond);
-	EXPECT_EQ(cause(), RemovalCause::Deregistered) << "before any step was noted";
+	EXPECT_EQ(cause(), RemovalCause::Deregistered) << "before any step was recorded";
 	run(500 * kMsToUs);
 	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 	EXPECT_FALSE(recordStoreConfirmation(contact, now, now));
@@ -108,7 +109,7 @@
 	EXPECT_EQ(cause(), RemovalCause::Deregistered);
 }
 
-TEST_F(StoreContactTest, BeforeTheFirstProofThereIsNoOutage)
+TEST_F(StoreContactTest, BeforeTheFirstConfirmationThereIsNoOutage)
 {
 	StoreContact unconfirmed;
 	recordRunning(unconfirmed, kBegin);
@@ -117,8 +118,8 @@
 	EXPECT_FALSE(recordStoreConfirmation(unconfirmed, kBegin + 300 * kMsToUs, kBegin + 300 * kMsToUs));
 }
 
-/// Proofs of a store that is there, by an answer that took a while, with pauses of the process at any place.
-RC_GTEST_FIXTURE_PROP(StoreContactTest, AStoreThatIsThereNeverCountsAsAway, ())
+/// Confirmations of a reachable store by slow answers, with stalls of the process at random points.
+RC_GTEST_FIXTURE_PROP(StoreContactTest, AReachableStoreNeverCountsAsUnreachable, ())
 {
 	const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1900));
 	for (const int step : steps)
@@ -136,7 +137,8 @@
 	}
 }
 
-/// Whatever came before, an outage that this process lived through is seen, and for a while after its end.
+/// An outage during which this process ran is detected, and still reported for a while after its end,
+/// whatever came before.
 RC_GTEST_FIXTURE_PROP(StoreContactTest, AnOutageIsSeenWhateverCameBefore, ())
 {
 	const auto before = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10000));
