--- a/bench/peer_pings.cpp
+++ b/bench/peer_pings.cpp
@@ -80,12 +80,12 @@
 {
 	const PeerPing ping = decodeFrame<PeerPing>(_frame);
 	NeighbourLoad& child = _parent.loads.children[_link];
-	takeLoads(_parent.loads, child, ping.loads, _now);
-	takeOwnLoad(_parent.loads, _parent.table);
-	takeHomes(_parent.homes, _parent.table, _link, ping.homes, _now);
+	applyLoads(_parent.loads, child, ping.loads, _now);
+	updateOwnLoad(_parent.loads, _parent.table);
+	applyHomes(_parent.homes, _parent.table, _link, ping.homes, _now);
 	PeerPong pong;
 	pong.seq = ping.seq;
-	pong.loads = changesFor(_parent.loads, child);
+	pong.loads = loadChangesFor(_parent.loads, child);
 	pong.homes = homesForChild(_parent.homes, _link);
 	return encodeFrame(pong);
 }
@@ -105,7 +105,7 @@
 	for (uint32_t round = 1; round <= kRounds; ++round)
 	{
 		const TimeUs now = TimeUs(round * kPingSeconds * 1e6);
-		applyOthersLoad(parent.loads, parent.table, now);
+		applyPeerLoads(parent.loads, parent.table, now);
 		for (uint32_t link = 0; link < _followers; ++link)
 		{
 			const std::string frame = encodeFrame(nextPing(round, requests, _upstreams, random));
--- a/include/spanplank/agent_core.h
+++ b/include/spanplank/agent_core.h
@@ -121,7 +121,7 @@
 	std::unordered_map<std::string, Submit> guardedSubmits; ///< Run-once calls that the guard holds, by key.
 	uint64_t nextWork = 1;
 	BillBook bills; ///< Copies, until the router that asked, or this agent in its place, has flushed them.
-	SuspectBook suspects;
+	SuspectTable suspects;
 	uint32_t upstreamLives = 0; ///< How often the upstream has ended.
 	bool upstreamDown = false;  ///< It has ended, and not answered since.
 	bool stopping = false;
--- a/include/spanplank/cold_upstreams.h
+++ b/include/spanplank/cold_upstreams.h
@@ -1,16 +1,17 @@
-/// Upstreams that are cold: freshly started, or cold again, they bear only a few requests a second from all
-/// routers together, and fall over well above that.
+/// Limits the request rate of cold upstreams. An upstream that has just started, or has become cold again,
+/// sustains only a few requests per second from all routers together and fails well above that.
 ///
-/// The load it answers: a hall returns as a whole, every router finds its upstreams idle, and all send there
-/// at once. No router can count what the others send within the second, so the rate is parted beforehand:
-/// each cold upstream has a few owners among the routers, found by a hash that all routers agree on, and
-/// each owner keeps a least time between two requests. In any second an owner sends at most one request more
-/// than its rate. The bound holds with one owner too many, as when one router knows of another that the
-/// others have not heard of: owners of two views differ by no more than the routers in which the views do.
+/// When a whole hall returns, its upstreams appear idle to every router, and all would send to them at once.
+/// No router can count what the others send within the same second, so the rate is divided in advance: a hash
+/// that is the same on all routers assigns each cold upstream a few owners among them, and each owner
+/// maintains a minimum interval between two requests. In any second an owner sends at most one request more
+/// than its rate. The bound also holds with one owner too many, as when one router's view of the fleet
+/// includes a router that the other views lack: the owners of two views differ by no more than the routers in
+/// which the views differ.
 ///
-/// Beside it stands an equal part for each router (`ColdSharing::EqualParts`): nobody owns anything, but a
-/// wrong count of routers breaks the bound, and with hundreds of routers a part is one request in many
-/// seconds, most of which pass unused.
+/// `ColdSharing::EqualShares` gives each router an equal share of the rate instead. A wrong count of routers
+/// then breaks the bound, and with hundreds of routers a share is one request in many seconds, so that most
+/// of the rate remains unused.
 #ifndef SPANPLANK_COLD_UPSTREAMS_H_HEADER_GUARD
 #define SPANPLANK_COLD_UPSTREAMS_H_HEADER_GUARD
 
@@ -23,14 +24,15 @@
 
 namespace spanplank
 {
-/// What the upstreams of a service bear while they are cold, from the configuration.
+/// Capacity of a service's cold upstreams, from the configuration.
 struct ColdService
 {
-	double perSecond = 0.0; ///< Requests of all routers to one upstream; 0: no bound is known.
-	TimeUs startTime = 0;   ///< How long an upstream is cold after a start.
+	double perSecond =
+		0.0; ///< Requests per second from all routers to one upstream; 0 if no limit is configured.
+	TimeUs warmupTime = 0; ///< How long an upstream is cold after a start.
 };
 
-/// What a deployment tolerates beyond that, from the settings: in any second a cold upstream gets at most
+/// Tolerance of a deployment, from the settings: in any second a cold upstream receives at most
 /// `perSecond` x `overshoot` + `slack` requests.
 struct ColdBounds
 {
@@ -38,11 +40,11 @@
 	double slack = 0.0;
 };
 
-/// How routers part the rate of a cold upstream.
+/// How routers divide the rate of a cold upstream.
 enum class ColdSharing : uint8_t
 {
-	Owners,     ///< A few routers send, the others none.
-	EqualParts, ///< Each router sends its part.
+	Owners,      ///< A few routers send requests, the others none.
+	EqualShares, ///< Each router sends an equal share.
 };
 
 struct FleetMember
@@ -51,44 +53,48 @@
 	std::string hall;
 };
 
-/// The routers as one of them knows them.
+/// The routers of a deployment, in the view of one of them.
 struct Fleet
 {
 	FleetMember self;
 	std::vector<FleetMember> others;
-	bool settled = false; ///< The others have had time to learn of this router, and it of them.
+	bool synced = false; ///< This router and the others have had time to exchange their registrations.
 };
 
-/// @returns The least time between two requests of this router to a cold upstream; 0: it sends none.
-/// @param[in] _upstream The same for all routers. @param[in] _hall Of the upstream: its own routers go first.
+/// @returns The minimum interval between two requests of this router to a cold upstream; 0 if it sends none.
+/// @param[in] _upstream Key of the upstream; must be the same on all routers.
+/// @param[in] _hall Hall of the upstream; routers in the same hall are preferred as owners.
 TimeUs coldSpacing(const ColdService& _service, const ColdBounds& _bounds, const Fleet& _fleet,
 				   uint64_t _upstream, std::string_view _hall, ColdSharing _sharing);
 
-/// Why an upstream is taken for cold.
+/// Why an upstream is treated as cold.
 enum class ColdCause : uint8_t
 {
-	Told,        ///< By its registration.
-	HallOpened,  ///< Its hall was evacuated until a moment ago.
-	Unreachable, ///< It took no connection: it may have started again without this router's knowing.
+	Reported,    ///< Its registration says so.
+	HallOpened,  ///< Its hall was evacuated until just before.
+	Unreachable, ///< A connection failed: it may have restarted without a new registration yet.
 };
 
 /// @returns A name for logs.
 const char* name(ColdCause _cause);
 
-/// One upstream as this router sees it.
+/// Cold state of one upstream on this router.
 struct ColdState
 {
-	TimeUs until = 0; ///< Taken for cold before this moment.
-	ColdCause cause = ColdCause::Told;
-	TimeUs spacing = 0; ///< Least time between two requests of this router; 0: it sends none.
-	TimeUs nextAt = 0;  ///< No request before.
+	TimeUs until = 0; ///< The upstream is treated as cold before this time.
+	ColdCause cause = ColdCause::Reported;
+	TimeUs spacing = 0; ///< Minimum interval between two requests of this router; 0 if it sends none.
+	TimeUs nextAt = 0;  ///< Earliest time of the next request.
 	bool logged = false;
 };
 
-/// An upstream is taken for cold, or for longer than it was. @returns Whether that is news.
-bool noteCold(ColdState& _state, ColdCause _cause, TimeUs _until);
+/// Treats an upstream as cold until a point in time.
+/// @returns Whether this starts or extends its cold time.
+bool markCold(ColdState& _state, ColdCause _cause, TimeUs _until);
 
-/// This router's part was worked out. @param[in] _phase 0 to 1: routers do not begin together.
+/// Sets this router's minimum interval between two requests.
+/// @param[in] _phase Share of the interval before the first request, 0 to 1, so that routers do not start
+/// together.
 void setColdSpacing(ColdState& _state, TimeUs _spacing, double _phase, TimeUs _now);
 
 inline bool isCold(const ColdState& _state, TimeUs _now)
@@ -96,14 +102,14 @@
 	return _now < _state.until;
 }
 
-/// @returns Whether this router may send a request to an upstream now; one that is not cold takes any.
-bool mayTake(const ColdState& _state, TimeUs _now);
+/// @returns Whether this router may send a request to an upstream now; always true if it is not cold.
+bool mayAcceptRequest(const ColdState& _state, TimeUs _now);
 
-/// A request was chosen for an upstream.
-void noteTaken(ColdState& _state, TimeUs _now);
+/// Records that an upstream was chosen for a request.
+void recordColdRequest(ColdState& _state, TimeUs _now);
 
-/// @returns When this router may send the next request to an upstream that takes none now.
-TimeUs nextTake(const ColdState& _state);
+/// @returns When this router may send its next request to an upstream that accepts none now.
+TimeUs nextRequestAt(const ColdState& _state);
 } // namespace spanplank
 
 #endif // SPANPLANK_COLD_UPSTREAMS_H_HEADER_GUARD
--- a/include/spanplank/crash_suspects.h
+++ b/include/spanplank/crash_suspects.h
@@ -1,8 +1,8 @@
-/// Requests that end the upstreams that run them, as all routers together know them.
+/// Detection of requests that crash the upstreams that run them, across all routers.
 ///
-/// A request that was at work where an upstream ended is suspected; once chance is no likely reason any more
-/// it is refused. A whole answer clears it. Routers tell each other what they saw: each passes on what is
-/// news to it.
+/// A request that was running at an upstream that ended becomes a suspect. It is refused once coincidence is
+/// no longer a likely explanation of its crashes. A complete answer clears it. Routers exchange their
+/// observations, and each forwards those that are new to it.
 #ifndef SPANPLANK_CRASH_SUSPECTS_H_HEADER_GUARD
 #define SPANPLANK_CRASH_SUSPECTS_H_HEADER_GUARD
 
@@ -21,114 +21,117 @@
 
 namespace spanplank
 {
-/// An upstream ended while the request was at work there.
-struct SeenCrash
+/// The end of an upstream while a request was running there.
+struct ObservedCrash
 {
-	UpstreamKey upstream = 0; ///< Of the life that ended.
+	UpstreamKey upstream = 0; ///< Of the incarnation that ended.
 	TimeUs at = 0;
-	TimeUs atWork = 0;      ///< Since the request was sent there.
-	uint32_t upstreams = 1; ///< Of the service, that were in use.
-	uint32_t copies = 0;    ///< Other upstreams at which the router that saw it had the same request then.
+	TimeUs runningFor = 0;  ///< Time since the request was sent there.
+	uint32_t upstreams = 1; ///< Number of upstreams of the service that were in use.
+	uint32_t copies = 0;    ///< Other upstreams at which the observing router was running the same request.
 };
 
 struct CrashSuspect
 {
-	std::string label;           ///< Account, method and path, for operators.
-	uint32_t episode = 0;        ///< Rises each time it is cleared; what an earlier one saw counts no more.
-	std::vector<SeenCrash> seen; ///< In this episode, an upstream each; at most `kMostSeen`.
-	uint32_t refusals = 0;       ///< How often it came to be refused in this episode; 0: it is not refused.
-	TimeUs refusedAt = 0;        ///< When it came to be refused last.
-	bool answered = false;       ///< A router had a whole answer to it not long before its first crash.
-	bool heard = false;          ///< Refused by another router's word, which tells others too.
-	bool trying = false;         ///< This router runs it once, after its refusal has lasted its time.
+	std::string label;  ///< Account, method and path, for operators.
+	uint32_t epoch = 0; ///< Incremented when the suspect is cleared; older observations are void.
+	std::vector<ObservedCrash> crashes; ///< In this epoch, one per upstream; at most `kMaxCrashesPerSuspect`.
+	uint32_t refusals = 0;              ///< Number of refusal periods in this epoch; 0 if it is not refused.
+	TimeUs refusedAt = 0;               ///< Start of the last refusal period.
+	bool answered = false;      ///< A router received a complete answer to it shortly before its first crash.
+	bool refusedByPeer = false; ///< Another router reported the refusal, and reports it to others as well.
+	bool probing = false;       ///< This router is running it once after its refusal period.
 	TimeUs changedAt = 0;
-	uint64_t change = 0; ///< `SuspectBook::changes` at its last change.
+	uint64_t change = 0; ///< Value of `SuspectTable::changes` at its last change.
 };
 
-struct SuspectBook
+struct SuspectTable
 {
 	std::map<RequestDigest, CrashSuspect> suspects;
-	std::map<uint64_t, RequestDigest> byChange;       ///< Each suspect by its last change.
-	std::map<UpstreamKey, TimeUs> crashes;            ///< Upstreams that ended under any request.
-	std::map<UpstreamKey, RequestDigest> explainedBy; ///< Those that ended under a refused one.
+	std::map<uint64_t, RequestDigest> byChange;       ///< Suspects by their last change.
+	std::map<UpstreamKey, TimeUs> crashes;            ///< Upstreams that ended while running any request.
+	std::map<UpstreamKey, RequestDigest> explainedBy; ///< Refused suspects to which crashes are attributed.
 	uint64_t changes = 0;
-	std::map<RequestDigest, TimeUs> answered; ///< Whole answers of this router, the newest of each request.
-	std::deque<RequestDigest> answeredOrder;  ///< The same, the oldest first.
+	std::map<RequestDigest, TimeUs> answered; ///< Time of this router's last complete answer to each request.
+	std::deque<RequestDigest> answeredOrder;  ///< The requests in `answered`, oldest first.
 };
 
-constexpr size_t kMostAnswered = 4096;
-constexpr size_t kMostSuspects = 2000; ///< Some 300 bytes each.
-constexpr size_t kMostSeen = 12;       ///< Of one suspect.
-constexpr size_t kMostCrashes = 4000;
-constexpr size_t kMostSuspectNews = 24; ///< Suspects in one message; the rest follows with the next.
-constexpr size_t kMostLabel = 120;      ///< Bytes.
-/// A refused request is run once more after this; twice as long after each time that this failed.
+constexpr size_t kMaxAnswered = 4096;
+constexpr size_t kMaxSuspects = 2000; ///< About 300 bytes each.
+constexpr size_t kMaxCrashesPerSuspect = 12;
+constexpr size_t kMaxCrashes = 4000;
+constexpr size_t kMaxSuspectUpdates = 24; ///< Suspects per message; the rest follows with the next one.
+constexpr size_t kMaxLabelBytes = 120;
+/// Length of a refusal period, after which the request is run once more. It doubles each time that run fails.
 constexpr TimeUs kRefusalTime = TimeUs(600) * 1000 * kMsToUs;
-constexpr uint32_t kMostRefusalDoublings = 3;
-/// A suspect that is not refused is forgotten this long after its last crash.
+constexpr uint32_t kMaxRefusalDoublings = 3;
+/// A suspect that is not refused is removed this long after its last crash.
 constexpr TimeUs kSuspicionTime = TimeUs(3600) * 1000 * kMsToUs;
 
-/// What a request may do.
-enum class SuspectStanding : uint8_t
+/// How a request is treated.
+enum class SuspectState : uint8_t
 {
 	Unknown,
 	Suspected,
 	Refused,
-	Due, ///< Its refusal has lasted its time: one run shows whether it still ends upstreams.
+	ProbeDue, ///< The refusal period is over; one run shows whether the request still ends upstreams.
 };
 
-/// Takes note of a crash. @returns Suspects that are refused by it.
-std::vector<RequestDigest> noteCrash(SuspectBook& _book, const RequestDigest& _digest,
-									 std::string_view _label, const SeenCrash& _crash, TimeUs _now);
+/// Records a crash. @returns Suspects that are refused as a result.
+std::vector<RequestDigest> recordCrash(SuspectTable& _suspects, const RequestDigest& _digest,
+									   std::string_view _label, const ObservedCrash& _crash, TimeUs _now);
 
-/// A request got a whole answer.
-void noteAnswered(SuspectBook& _book, const RequestDigest& _digest, TimeUs _now);
+/// Records a complete answer to a request.
+void recordAnswered(SuspectTable& _suspects, const RequestDigest& _digest, TimeUs _now);
 
-/// A request got a whole answer, or an operator clears it. @returns Whether it was a suspect.
-bool clearSuspect(SuspectBook& _book, const RequestDigest& _digest, TimeUs _now);
+/// Clears a request that received a complete answer, or that an operator cleared.
+/// @returns Whether it was a suspect.
+bool clearSuspect(SuspectTable& _suspects, const RequestDigest& _digest, TimeUs _now);
 
-SuspectStanding standingOf(const SuspectBook& _book, const RequestDigest& _digest, TimeUs _now);
+SuspectState suspectStateOf(const SuspectTable& _suspects, const RequestDigest& _digest, TimeUs _now);
 
-/// @returns A refusal of a request that stands so. @param[in] _mayTry Whether one that is due may run here.
-std::optional<Refusal> refusalOf(const SuspectBook& _book, const RequestDigest& _digest, bool _mayTry,
+/// @returns The refusal of a request; empty if it may run.
+/// @param[in] _mayTry Whether this router may run a request whose probe is due.
+std::optional<Refusal> refusalOf(const SuspectTable& _suspects, const RequestDigest& _digest, bool _mayTry,
 								 TimeUs _now);
 
-/// @returns Time until a refused request is run once more; 0: it is due, or not refused.
+/// @returns Time until a refused request is run once more; 0 if the run is due or the request is not refused.
 TimeUs refusedFor(const CrashSuspect& _suspect, TimeUs _now);
 
-/// The run of a suspect that is due began or ended. @returns Whether it may begin: one runs at a time.
-bool beginTry(SuspectBook& _book, const RequestDigest& _digest);
-void endTry(SuspectBook& _book, const RequestDigest& _digest);
+/// Starts the probe of a suspect. @returns Whether it may run: there is only one probe at a time.
+bool beginProbe(SuspectTable& _suspects, const RequestDigest& _digest);
+/// Ends the probe of a suspect.
+void endProbe(SuspectTable& _suspects, const RequestDigest& _digest);
 
-/// Forgets what is too old, and the oldest beyond the bounds.
-void forgetOldSuspects(SuspectBook& _book, TimeUs _now);
+/// Removes expired suspects, answers and crashes.
+void expireSuspects(SuspectTable& _suspects, TimeUs _now);
 
-/// @returns The number of refused ones.
-size_t refusedSuspects(const SuspectBook& _book);
+/// @returns The number of refused suspects.
+size_t countRefusedSuspects(const SuspectTable& _suspects);
 
-/// @returns The probability that a request that ends no upstreams was at work at all these by chance.
-double chanceOf(const SuspectBook& _book, const RequestDigest& _digest, const CrashSuspect& _suspect);
+/// @returns The probability that a harmless request was running at all these crashes by coincidence.
+double chanceOf(const SuspectTable& _suspects, const RequestDigest& _digest, const CrashSuspect& _suspect);
 
-/// What a router tells of a suspect. Times travel as ages.
-struct SuspectNews
+/// State of one suspect as routers exchange it, with ages in place of times.
+struct SuspectUpdate
 {
 	RequestDigest digest;
-	CrashSuspect suspect; ///< Its moments as ages.
+	CrashSuspect suspect; ///< Its times are ages.
 };
 
-/// @returns What changed since a neighbour was told last, the oldest change first. @param[in,out] _told Last
-/// change that it was told; 0: none.
-std::vector<SuspectNews> suspectNewsFor(const SuspectBook& _book, uint64_t& _told, TimeUs _now);
+/// @returns Suspects that changed since the last message to a neighbour, the oldest change first.
+/// @param[in,out] _sent Last change that was sent to the neighbour; 0 if there is none.
+std::vector<SuspectUpdate> suspectUpdatesFor(const SuspectTable& _suspects, uint64_t& _sent, TimeUs _now);
 
-/// Takes what another router told. @returns Suspects that are refused by it.
-std::vector<RequestDigest> takeSuspectNews(SuspectBook& _book, const std::vector<SuspectNews>& _news,
-										   TimeUs _now);
+/// Applies the updates of another router. @returns Suspects that are refused as a result.
+std::vector<RequestDigest> applySuspectUpdates(SuspectTable& _suspects,
+											   const std::vector<SuspectUpdate>& _updates, TimeUs _now);
 
-/// What is told of one suspect, also for the store.
-SuspectNews newsOf(const SuspectBook& _book, const RequestDigest& _digest, TimeUs _now);
+/// @returns The update of one suspect for neighbours and the store.
+SuspectUpdate suspectUpdateOf(const SuspectTable& _suspects, const RequestDigest& _digest, TimeUs _now);
 
-void to_json(nlohmann::json& _json, const SuspectNews& _news);
-void from_json(const nlohmann::json& _json, SuspectNews& _news);
+void to_json(nlohmann::json& _json, const SuspectUpdate& _update);
+void from_json(const nlohmann::json& _json, SuspectUpdate& _update);
 } // namespace spanplank
 
 #endif // SPANPLANK_CRASH_SUSPECTS_H_HEADER_GUARD
--- a/include/spanplank/hall_evacuation.h
+++ b/include/spanplank/hall_evacuation.h
@@ -1,9 +1,10 @@
-/// Halls that the operators evacuate: nothing is sent to their upstreams until the order is taken back.
+/// Evacuation orders by hall. Nothing is sent to the upstreams of a hall until its order is withdrawn.
 ///
-/// The load it answers: a third of a service's upstreams goes out of use within one bound, while orders and
-/// removals come in series, by watches, lists and other routers, late and overtaken by one another. An order
-/// is in force for as long as its item stands in the store, whatever the item holds: an order that can't be
-/// read empties the hall all the same, as a request too few is less harm than one sent to an evacuated hall.
+/// An evacuation takes a third of a service's upstreams out of use within one time bound. Orders and
+/// withdrawals come in bursts, through watches, lists and other routers, and may be late or superseded. An
+/// order is in force while its item exists in the store, whatever the item contains: an order that cannot be
+/// parsed evacuates the hall too, since withholding a request does less harm than sending one to an evacuated
+/// hall.
 #ifndef SPANPLANK_HALL_EVACUATION_H_HEADER_GUARD
 #define SPANPLANK_HALL_EVACUATION_H_HEADER_GUARD
 
@@ -18,30 +19,30 @@
 
 namespace spanplank
 {
-/// What is known of one hall.
+/// Last known state of one hall.
 struct HallOrder
 {
 	bool evacuated = false;
-	uint64_t revision = 0; ///< Of the store, at which the order was written or taken back.
+	uint64_t revision = 0; ///< Store revision at which the order was written or withdrawn.
 };
 
 struct HallOrders
 {
-	std::map<std::string, HallOrder> halls; ///< Those for which there ever was an order.
-	uint64_t listedAt =
-		0; ///< Of the store, at which all orders were listed last: all halls are known as of then.
+	std::map<std::string, HallOrder> halls; ///< Halls that have ever had an order.
+	uint64_t listedRevision =
+		0; ///< Store revision of the last complete list; all halls are known as of then.
 };
 
-/// An evacuation was ordered. News that is older than what is known changes nothing.
+/// Applies an evacuation order. One that is older than the known state has no effect.
 /// @returns Whether the hall was open until now.
 bool evacuateHall(HallOrders& _orders, const std::string& _hall, uint64_t _revision);
 
-/// An order was taken back. News that is older than what is known changes nothing.
+/// Applies the withdrawal of an order. One that is older than the known state has no effect.
 /// @returns Whether the hall was evacuated until now.
 bool reopenHall(HallOrders& _orders, const std::string& _hall, uint64_t _revision);
 
-/// All orders were listed at a revision of the store: the halls that are not among them are open.
-/// @returns The halls that were evacuated until now and are not any more.
+/// Reopens the halls that are missing from a complete list of orders at a store revision.
+/// @returns The halls that were evacuated until now.
 std::vector<std::string> reopenOtherHalls(HallOrders& _orders, absl::Span<const std::string> _evacuated,
 										  uint64_t _revision);
 
--- a/include/spanplank/home_share.h
+++ b/include/spanplank/home_share.h
@@ -1,5 +1,5 @@
-/// Which upstream read which parts of prompts, told along the tree in which routers follow each other: each
-/// router passes on what it learns to all its neighbours but the one that told it.
+/// Which upstream has read which prompt parts, propagated along the tree in which routers follow each other:
+/// each router forwards what is new to it to all neighbours except the sender.
 #ifndef SPANPLANK_HOME_SHARE_H_HEADER_GUARD
 #define SPANPLANK_HOME_SHARE_H_HEADER_GUARD
 
@@ -13,8 +13,8 @@
 
 namespace spanplank
 {
-/// What is still to be told to a neighbour, at most `kMostUntold`. A neighbour that takes nothing for long
-/// misses some: they are hints.
+/// Homes to send to a neighbour, at most `kMaxUnsentHomes`. A neighbour that receives nothing for long misses
+/// some, which is acceptable for hints.
 using HomeOutbox = std::vector<NewHome>;
 
 struct HomeShare
@@ -23,23 +23,23 @@
 	HomeOutbox parent;
 };
 
-/// Most parts that wait to be told to one neighbour; some 14 bytes each on the wire.
-constexpr size_t kMostUntold = 1000;
+/// Maximum number of homes waiting for one neighbour; about 14 bytes each on the wire.
+constexpr size_t kMaxUnsentHomes = 1000;
 
-/// Key of the parent beside the links of children.
-constexpr uint32_t kParentOfTree = kInvalidIdx;
+/// Denotes the parent where children are denoted by their link.
+constexpr uint32_t kParentNeighbour = kInvalidIdx;
 
-/// Takes what this router itself has sent since the last call.
+/// Collects the prompt parts that this router has sent to upstreams since the last call.
 void collectOwnHomes(HomeShare& _share, UpstreamTable& _table);
 
-/// Takes what a neighbour told. @param[in] _from Link of the child, or `kParentOfTree`.
-void takeHomes(HomeShare& _share, UpstreamTable& _table, uint32_t _from, absl::Span<const NewHome> _homes,
-			   TimeUs _now);
+/// Applies homes received from a neighbour. @param[in] _from Link of the child, or `kParentNeighbour`.
+void applyHomes(HomeShare& _share, UpstreamTable& _table, uint32_t _from, absl::Span<const NewHome> _homes,
+				TimeUs _now);
 
-/// @returns What to tell the parent, which is then told.
+/// @returns The homes to send to the parent, which are removed from its outbox.
 std::vector<NewHome> homesForParent(HomeShare& _share);
 
-/// @returns What to tell a child, which is then told. A child is known from its first call on.
+/// @returns The homes to send to a child, which are removed from its outbox. The first call adds the child.
 std::vector<NewHome> homesForChild(HomeShare& _share, uint32_t _child);
 } // namespace spanplank
 
--- a/include/spanplank/load_share.h
+++ b/include/spanplank/load_share.h
@@ -1,6 +1,7 @@
-/// What all routers have waiting at each upstream, summed along the tree in which they follow each other:
-/// each tells its parent the sum of its subtree, and each child the sum of all others. A neighbour is told
-/// only what has changed since it was told last, over a link that loses and reorders nothing.
+/// Load of all routers at each upstream, aggregated along the tree in which routers follow each other: each
+/// router sends its parent the sum of its subtree, and each child the sum of everything outside the child's
+/// subtree. Only changes since the last message are sent, over a link that neither loses nor reorders
+/// messages.
 #ifndef SPANPLANK_LOAD_SHARE_H_HEADER_GUARD
 #define SPANPLANK_LOAD_SHARE_H_HEADER_GUARD
 
@@ -15,10 +16,10 @@
 
 namespace spanplank
 {
-/// Work at one upstream, in whole numbers so that sums can be corrected without a rest.
+/// Work at one upstream, in integers so that sums are corrected without rounding errors.
 struct LoadCount
 {
-	int32_t prefillMs = 0; ///< Expected reading time of prompts that have no first token yet.
+	int32_t prefillMs = 0; ///< Expected prefill time of prompts without a first token yet.
 	int32_t inFlight = 0;
 
 	bool operator==(const LoadCount& _other) const
@@ -29,7 +30,7 @@
 
 using LoadTable = std::unordered_map<UpstreamKey, LoadCount>;
 
-/// The load at an upstream, as it is now.
+/// New load at an upstream.
 struct LoadChange
 {
 	UpstreamKey upstream = 0;
@@ -39,41 +40,41 @@
 /// A neighbour in the tree, or this router itself.
 struct NeighbourLoad
 {
-	LoadTable loads;      ///< What it has, as it told.
-	LoadTable told;       ///< What it was told of the others.
-	TimeUs toldAt = 0;    ///< When it told last; 0: never.
-	bool counted = false; ///< `loads` is part of the sum.
+	LoadTable loads;       ///< Load that the neighbour last reported.
+	LoadTable sent;        ///< Load of the others that was last sent to the neighbour.
+	TimeUs receivedAt = 0; ///< When its last message arrived; 0 if none has.
+	bool counted = false;  ///< `loads` is part of the sum.
 };
 
 struct LoadShare
 {
-	LoadTable sum; ///< Of this router and all neighbours that told lately.
+	LoadTable sum; ///< Of this router and all neighbours that reported recently.
 	NeighbourLoad own;
 	std::map<uint32_t, NeighbourLoad> children; ///< By link.
-	NeighbourLoad parent;                       ///< All that is not in this router's subtree.
-	/// This router follows one that may follow it in turn: it tells its parent what it has itself, and its
-	/// children nothing of the parent. In a ring of routers each round would add up what the rounds before
-	/// told.
+	NeighbourLoad parent;                       ///< Everything outside this router's subtree.
+	/// This router follows one that may in turn follow it. It then sends its parent only its own load, and
+	/// its children nothing of the parent's. In a ring of routers the sums would otherwise grow with each
+	/// exchange.
 	bool isolated = false;
 };
 
-/// Takes what this router itself has at the upstreams now.
-void takeOwnLoad(LoadShare& _share, const UpstreamTable& _table);
+/// Updates this router's own load from its upstreams.
+void updateOwnLoad(LoadShare& _share, const UpstreamTable& _table);
 
-/// Takes what a neighbour told.
-void takeLoads(LoadShare& _share, NeighbourLoad& _neighbour, absl::Span<const LoadChange> _changes,
-			   TimeUs _now);
+/// Applies changes received from a neighbour.
+void applyLoads(LoadShare& _share, NeighbourLoad& _neighbour, absl::Span<const LoadChange> _changes,
+				TimeUs _now);
 
-/// A neighbour is gone, or begins anew over another link.
-void dropLoads(LoadShare& _share, NeighbourLoad& _neighbour);
+/// Removes the load of a neighbour that has disconnected or reconnects over another link.
+void removeLoads(LoadShare& _share, NeighbourLoad& _neighbour);
 
-/// @returns What has changed for a neighbour, which is then told.
-std::vector<LoadChange> changesFor(const LoadShare& _share, NeighbourLoad& _neighbour);
+/// @returns The changes to send to a neighbour, which are recorded as sent.
+std::vector<LoadChange> loadChangesFor(const LoadShare& _share, NeighbourLoad& _neighbour);
 
-/// Leaves out of the sum what was told too long ago, and puts what the others have into the table.
-void applyOthersLoad(LoadShare& _share, UpstreamTable& _table, TimeUs _now);
+/// Excludes outdated reports from the sum and writes the load of the other routers to the table.
+void applyPeerLoads(LoadShare& _share, UpstreamTable& _table, TimeUs _now);
 
-/// Loads that were told longer ago say nothing any more: most prompts are read by then.
+/// Lifetime of a load report: after this time most prompts in it have been read.
 constexpr TimeUs kLoadLifetime = 1000 * kMsToUs;
 } // namespace spanplank
 
--- a/include/spanplank/messages.h
+++ b/include/spanplank/messages.h
@@ -134,7 +134,7 @@
 /// Requests under which upstreams ended, as they changed.
 struct Suspects
 {
-	std::vector<SuspectNews> suspects;
+	std::vector<SuspectUpdate> suspects;
 };
 
 /// @returns What a request is known by at routers and agents alike.
--- a/include/spanplank/peer_messages.h
+++ b/include/spanplank/peer_messages.h
@@ -22,13 +22,13 @@
 /// A router to the one that it follows.
 struct PeerPing
 {
-	uint64_t seq = 0;                  ///< Rises with each ping of a link.
-	std::vector<LoadChange> loads;     ///< Of its subtree, changed since the last ping over this link.
-	std::vector<NewHome> homes;        ///< Learned since the last ping, but from the receiver.
-	std::vector<TrialHalt> halts;      ///< Not in the store yet.
-	std::vector<TrialNews> trials;     ///< Of the trials that run.
-	std::vector<SuspectNews> suspects; ///< Changed since the last ping over this link.
-	std::vector<UsageRow> usage;       ///< Of its subtree, changed since the last telling.
+	uint64_t seq = 0;                    ///< Rises with each ping of a link.
+	std::vector<LoadChange> loads;       ///< Of its subtree, changed since the last ping over this link.
+	std::vector<NewHome> homes;          ///< Learned since the last ping, but from the receiver.
+	std::vector<TrialHalt> halts;        ///< Not in the store yet.
+	std::vector<TrialNews> trials;       ///< Of the trials that run.
+	std::vector<SuspectUpdate> suspects; ///< Changed since the last ping over this link.
+	std::vector<UsageRow> usage;         ///< Of its subtree, changed since the last telling.
 };
 
 /// The answer to a ping.
@@ -43,8 +43,8 @@
 	std::vector<TrialHalt> halts;  ///< Not in the store yet.
 	std::vector<PeerKey> chain;    ///< The sender, whom it follows, and so on; a ring shows in it.
 	std::vector<TrialNews> trials; ///< Of the trials that run.
-	std::vector<SuspectNews> suspects; ///< Changed since the last answer over this link.
-	TimeUs wall = 0;                   ///< The sender's time of day.
+	std::vector<SuspectUpdate> suspects; ///< Changed since the last answer over this link.
+	TimeUs wall = 0;                     ///< The sender's time of day.
 };
 
 /// A follower that missed changes of the store asks the router that it follows for them.
@@ -241,7 +241,7 @@
 }
 
 /// As `decodeLoads`.
-inline void decodeSuspects(const nlohmann::json& _json, size_t _at, std::vector<SuspectNews>& _suspects)
+inline void decodeSuspects(const nlohmann::json& _json, size_t _at, std::vector<SuspectUpdate>& _suspects)
 {
 	if (_json.size() > _at)
 	{
--- a/include/spanplank/router_core.h
+++ b/include/spanplank/router_core.h
@@ -187,7 +187,7 @@
 	uint64_t roundRobin = 0;
 	uint32_t routers = 1; ///< Live routers that share the upstreams, this one included.
 	BillBook bills;
-	SuspectBook suspects;
+	SuspectTable suspects;
 	RouterStats stats;
 };
 
--- a/src/adapters/agent_daemon.cpp
+++ b/src/adapters/agent_daemon.cpp
@@ -432,7 +432,7 @@
 	followBoxList(_agent.node, [&_agent] { linkPeers(_agent); });
 	every(kHeartbeatMs, [&_agent] {
 		_agent.node.hub->sendAll(MessageType::Heartbeat, heartbeatOf(_agent));
-		forgetOldSuspects(_agent.core.suspects, monotonicNow());
+		expireSuspects(_agent.core.suspects, monotonicNow());
 		tellSuspects(_agent.node, _agent.core.suspects);
 		sendReport(_agent);
 	});
--- a/src/adapters/node.cpp
+++ b/src/adapters/node.cpp
@@ -63,11 +63,11 @@
 	logEvent(_event, {{"subject", _subject}, {"detail", _detail}});
 }
 
-void tellSuspects(Node& _node, const SuspectBook& _book)
+void tellSuspects(Node& _node, const SuspectTable& _book)
 {
 	for (const LinkId link : _node.hub->openLinks())
 	{
-		Suspects news{suspectNewsFor(_book, _node.toldSuspects[link.idx], monotonicNow())};
+		Suspects news{suspectUpdatesFor(_book, _node.toldSuspects[link.idx], monotonicNow())};
 		if (!news.suspects.empty())
 		{
 			_node.hub->send(link, MessageType::Suspects, news);
--- a/src/adapters/node_p.h
+++ b/src/adapters/node_p.h
@@ -46,7 +46,7 @@
 			   const std::string& _detail);
 
 /// Tells each link what changed of requests that end upstreams.
-void tellSuspects(Node& _node, const SuspectBook& _book);
+void tellSuspects(Node& _node, const SuspectTable& _book);
 
 /// Polls the box list; calls back after each read.
 void followBoxList(Node& _node, std::function<void()> _onRead);
--- a/src/adapters/router_daemon.cpp
+++ b/src/adapters/router_daemon.cpp
@@ -383,7 +383,7 @@
 		while (true)
 		{
 			_router.node.hub->sendAll(MessageType::Heartbeat, heartbeatOf(_router));
-			forgetOldSuspects(_router.core.suspects, monotonicNow());
+			expireSuspects(_router.core.suspects, monotonicNow());
 			tellSuspects(_router.node, _router.core.suspects);
 			sleepFor(kHeartbeatMs);
 		}
--- a/src/core/agent_core.cpp
+++ b/src/core/agent_core.cpp
@@ -95,7 +95,7 @@
 	{
 		const RequestDigest digest = digestOf(_submit);
 		// Of all agents two may run one that is due.
-		const bool mayTry = standingOf(_core.suspects, digest, _now) == SuspectStanding::Due &&
+		const bool mayTry = suspectStateOf(_core.suspects, digest, _now) == SuspectState::ProbeDue &&
 							watchesRatings(_core, hexOf(digest));
 		std::optional<Refusal> refusal = refusalOf(_core.suspects, digest, mayTry, _now);
 		if (refusal)
@@ -481,7 +481,7 @@
 	}
 	++_core.stats.ended;
 	_core.upstreamDown = false;
-	noteAnswered(_core.suspects, digestOf(found->second.submit), _now);
+	recordAnswered(_core.suspects, digestOf(found->second.submit), _now);
 	const Work work = std::move(found->second);
 	dropWork(_core, _work, uint64_t(_end.promptTokens) + _end.outputTokens, _end.seconds);
 	const bool billable = work.status < 500 && !work.abandoned; // An answer that nobody gets is not billed.
@@ -501,7 +501,7 @@
 
 void onSuspects(AgentCore& _core, const Suspects& _news, TimeUs _now)
 {
-	takeSuspectNews(_core.suspects, _news.suspects, _now);
+	applySuspectUpdates(_core.suspects, _news.suspects, _now);
 }
 
 namespace
@@ -513,15 +513,15 @@
 	_core.upstreamLives += _core.upstreamDown ? 0 : 1;
 	_core.upstreamDown = true;
 	const RequestDigest digest = digestOf(_work.submit);
-	if (standingOf(_core.suspects, digest, _now) == SuspectStanding::Due)
+	if (suspectStateOf(_core.suspects, digest, _now) == SuspectState::ProbeDue)
 	{
-		beginTry(_core.suspects, digest);
+		beginProbe(_core.suspects, digest);
 	}
 	const auto members = uint32_t(_core.guard.table.members.size());
-	const SeenCrash crash{keyOf(_core.init.self.incarnation, _core.upstreamLives), _now,
-						  _now - _work.startedAt, std::max(1u, members), 0};
+	const ObservedCrash crash{keyOf(_core.init.self.incarnation, _core.upstreamLives), _now,
+							  _now - _work.startedAt, std::max(1u, members), 0};
 	const std::string label = fmt::format("{} {}", _work.submit.account, _work.submit.path);
-	_core.stats.suspectsRefused += noteCrash(_core.suspects, digest, label, crash, _now).size();
+	_core.stats.suspectsRefused += recordCrash(_core.suspects, digest, label, crash, _now).size();
 }
 } // namespace
 
--- a/src/core/cold_upstreams.cpp
+++ b/src/core/cold_upstreams.cpp
@@ -9,7 +9,7 @@
 {
 /// Owners of a cold upstream. With one, its part is unused while that router has no work; each further one
 /// may send one request more in a bad second.
-constexpr uint32_t kMostOwners = 4;
+constexpr uint32_t kMaxOwners = 4;
 constexpr double kSecondUs = 1000.0 * double(kMsToUs);
 
 struct OwnerPlan
@@ -24,7 +24,7 @@
 {
 	const double bound = _service.perSecond * _bounds.overshoot + _bounds.slack;
 	OwnerPlan best;
-	for (uint32_t owners = 1; owners <= std::min<size_t>(kMostOwners, _routers); ++owners)
+	for (uint32_t owners = 1; owners <= std::min<size_t>(kMaxOwners, _routers); ++owners)
 	{
 		const double safe = bound / double(owners + 1) - 1.0;
 		const double rate = std::min(_service.perSecond / double(owners), safe);
@@ -77,11 +77,11 @@
 TimeUs coldSpacing(const ColdService& _service, const ColdBounds& _bounds, const Fleet& _fleet,
 				   uint64_t _upstream, std::string_view _hall, ColdSharing _sharing)
 {
-	if (!_fleet.settled)
+	if (!_fleet.synced)
 	{
 		return 0;
 	}
-	if (_sharing == ColdSharing::EqualParts)
+	if (_sharing == ColdSharing::EqualShares)
 	{
 		return spacingOf(_service.perSecond / double(_fleet.others.size() + 1));
 	}
@@ -94,7 +94,7 @@
 	return kNames[size_t(_cause)];
 }
 
-bool noteCold(ColdState& _state, ColdCause _cause, TimeUs _until)
+bool markCold(ColdState& _state, ColdCause _cause, TimeUs _until)
 {
 	if (_until <= _state.until)
 	{
@@ -115,12 +115,12 @@
 	_state.spacing = _spacing;
 }
 
-bool mayTake(const ColdState& _state, TimeUs _now)
+bool mayAcceptRequest(const ColdState& _state, TimeUs _now)
 {
 	return !isCold(_state, _now) || (_state.spacing != 0 && _now >= _state.nextAt);
 }
 
-void noteTaken(ColdState& _state, TimeUs _now)
+void recordColdRequest(ColdState& _state, TimeUs _now)
 {
 	if (isCold(_state, _now))
 	{
@@ -128,7 +128,7 @@
 	}
 }
 
-TimeUs nextTake(const ColdState& _state)
+TimeUs nextRequestAt(const ColdState& _state)
 {
 	return _state.spacing == 0 ? _state.until : std::min(_state.until, _state.nextAt);
 }
--- a/src/core/hall_evacuation.cpp
+++ b/src/core/hall_evacuation.cpp
@@ -11,7 +11,7 @@
 bool setOrder(HallOrders& _orders, const std::string& _hall, bool _evacuated, uint64_t _revision)
 {
 	HallOrder& order = _orders.halls[_hall];
-	if (_revision < std::max(order.revision, _orders.listedAt))
+	if (_revision < std::max(order.revision, _orders.listedRevision))
 	{
 		return false;
 	}
@@ -44,7 +44,7 @@
 			reopened.push_back(hall);
 		}
 	}
-	_orders.listedAt = std::max(_orders.listedAt, _revision);
+	_orders.listedRevision = std::max(_orders.listedRevision, _revision);
 	return reopened;
 }
 
--- a/src/core/home_share.cpp
+++ b/src/core/home_share.cpp
@@ -9,22 +9,22 @@
 {
 void add(HomeOutbox& _outbox, const NewHome& _home)
 {
-	if (_outbox.size() < kMostUntold)
+	if (_outbox.size() < kMaxUnsentHomes)
 	{
 		_outbox.push_back(_home);
 	}
 }
 
 /// @param[in] _but This neighbour knows already.
-void tellNeighbours(HomeShare& _share, uint32_t _but, const NewHome& _home)
+void enqueueForNeighbours(HomeShare& _share, uint32_t _except, const NewHome& _home)
 {
-	if (_but != kParentOfTree)
+	if (_except != kParentNeighbour)
 	{
 		add(_share.parent, _home);
 	}
 	for (auto& [link, outbox] : _share.children)
 	{
-		if (link != _but)
+		if (link != _except)
 		{
 			add(outbox, _home);
 		}
@@ -34,22 +34,22 @@
 
 void collectOwnHomes(HomeShare& _share, UpstreamTable& _table)
 {
-	constexpr uint32_t kNobody = kParentOfTree - 1; // Neither the parent nor a link.
+	constexpr uint32_t kNoNeighbour = kParentNeighbour - 1; // Neither the parent nor a link.
 	for (const NewHome& home : _table.newHomes)
 	{
-		tellNeighbours(_share, kNobody, home);
+		enqueueForNeighbours(_share, kNoNeighbour, home);
 	}
 	_table.newHomes.clear();
 }
 
-void takeHomes(HomeShare& _share, UpstreamTable& _table, uint32_t _from, absl::Span<const NewHome> _homes,
-			   TimeUs _now)
+void applyHomes(HomeShare& _share, UpstreamTable& _table, uint32_t _from, absl::Span<const NewHome> _homes,
+				TimeUs _now)
 {
 	for (const NewHome& home : _homes)
 	{
-		if (notePeerHome(_table, home, _now)) // Otherwise it would go round in a ring of routers for ever.
+		if (recordPeerHome(_table, home, _now)) // Otherwise it would go round in a ring of routers for ever.
 		{
-			tellNeighbours(_share, _from, home);
+			enqueueForNeighbours(_share, _from, home);
 		}
 	}
 }
--- a/src/core/load_share.cpp
+++ b/src/core/load_share.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 /// Sums with fewer upstreams are not searched for those that are gone.
-constexpr size_t kLeastForgotten = 64;
+constexpr size_t kMinPruneSize = 64;
 
 void add(LoadCount& _sum, const LoadCount& _load, int32_t _sign)
 {
@@ -34,7 +34,7 @@
 	_table[_upstream] = _load;
 }
 
-void count(LoadShare& _share, NeighbourLoad& _neighbour, bool _counted)
+void setCounted(LoadShare& _share, NeighbourLoad& _neighbour, bool _counted)
 {
 	if (_neighbour.counted == _counted)
 	{
@@ -62,10 +62,10 @@
 
 bool isFresh(const NeighbourLoad& _neighbour, TimeUs _now)
 {
-	return _neighbour.toldAt != 0 && _now - _neighbour.toldAt < kLoadLifetime;
+	return _neighbour.receivedAt != 0 && _now - _neighbour.receivedAt < kLoadLifetime;
 }
 
-void leaveOut(LoadCount& _sum, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
+void subtractNeighbour(LoadCount& _sum, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
 {
 	if (_neighbour.counted)
 	{
@@ -77,118 +77,118 @@
 LoadCount othersLoad(const LoadShare& _share, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
 {
 	LoadCount others = valueOf(_share.sum, _upstream);
-	leaveOut(others, _neighbour, _upstream);
+	subtractNeighbour(others, _neighbour, _upstream);
 	return others;
 }
 
 /// What a neighbour is told.
-LoadCount toldLoad(const LoadShare& _share, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
+LoadCount loadToSend(const LoadShare& _share, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
 {
 	if (_share.isolated && &_neighbour == &_share.parent)
 	{
 		return valueOf(_share.own.loads, _upstream);
 	}
-	LoadCount told = othersLoad(_share, _neighbour, _upstream);
+	LoadCount load = othersLoad(_share, _neighbour, _upstream);
 	if (_share.isolated)
 	{
-		leaveOut(told, _share.parent, _upstream);
+		subtractNeighbour(load, _share.parent, _upstream);
 	}
-	return told;
+	return load;
 }
 
 /// An upstream without a load stays in the sum until all were told so.
-bool isToldToAll(const LoadShare& _share, UpstreamKey _upstream)
+bool isSentToAll(const LoadShare& _share, UpstreamKey _upstream)
 {
 	for (const auto& [link, child] : _share.children)
 	{
-		if (child.told.count(_upstream) != 0)
+		if (child.sent.count(_upstream) != 0)
 		{
 			return false;
 		}
 	}
-	return _share.parent.told.count(_upstream) == 0;
+	return _share.parent.sent.count(_upstream) == 0;
 }
 
-void forgetIdle(LoadShare& _share, const UpstreamTable& _table)
+void pruneIdle(LoadShare& _share, const UpstreamTable& _table)
 {
-	if (_share.sum.size() < kLeastForgotten + 2 * _table.entries.size())
+	if (_share.sum.size() < kMinPruneSize + 2 * _table.entries.size())
 	{
 		return;
 	}
 	for (auto at = _share.sum.begin(); at != _share.sum.end();)
 	{
-		const bool idle = at->second == LoadCount{} && isToldToAll(_share, at->first);
+		const bool idle = at->second == LoadCount{} && isSentToAll(_share, at->first);
 		at = idle ? _share.sum.erase(at) : std::next(at);
 	}
 }
 } // namespace
 
-void takeOwnLoad(LoadShare& _share, const UpstreamTable& _table)
+void updateOwnLoad(LoadShare& _share, const UpstreamTable& _table)
 {
 	_share.own.counted = true;
-	LoadTable gone = _share.own.loads; // What is left of it has no entry, or nothing in flight any more.
+	LoadTable ended = _share.own.loads; // What is left of it has no entry, or nothing in flight any more.
 	for (const auto& [idx, entry] : _table.entries)
 	{
 		if (entry.inFlight > 0)
 		{
 			const LoadCount load{int32_t(std::lround(entry.prefillMs)), int32_t(entry.inFlight)};
 			setLoad(_share, _share.own, entry.key, load);
-			gone.erase(entry.key);
+			ended.erase(entry.key);
 		}
 	}
-	for (const auto& [upstream, load] : gone)
+	for (const auto& [upstream, load] : ended)
 	{
 		setLoad(_share, _share.own, upstream, {});
 	}
 }
 
-void takeLoads(LoadShare& _share, NeighbourLoad& _neighbour, absl::Span<const LoadChange> _changes,
-			   TimeUs _now)
+void applyLoads(LoadShare& _share, NeighbourLoad& _neighbour, absl::Span<const LoadChange> _changes,
+				TimeUs _now)
 {
-	_neighbour.toldAt = _now;
-	count(_share, _neighbour, true);
+	_neighbour.receivedAt = _now;
+	setCounted(_share, _neighbour, true);
 	for (const LoadChange& change : _changes)
 	{
 		setLoad(_share, _neighbour, change.upstream, change.load);
 	}
 }
 
-void dropLoads(LoadShare& _share, NeighbourLoad& _neighbour)
+void removeLoads(LoadShare& _share, NeighbourLoad& _neighbour)
 {
-	count(_share, _neighbour, false);
+	setCounted(_share, _neighbour, false);
 	_neighbour = {};
 }
 
-std::vector<LoadChange> changesFor(const LoadShare& _share, NeighbourLoad& _neighbour)
+std::vector<LoadChange> loadChangesFor(const LoadShare& _share, NeighbourLoad& _neighbour)
 {
 	std::vector<LoadChange> changes;
 	for (const auto& [upstream, load] : _share.sum)
 	{
-		const LoadCount told = toldLoad(_share, _neighbour, upstream);
-		if (!(told == valueOf(_neighbour.told, upstream)))
+		const LoadCount current = loadToSend(_share, _neighbour, upstream);
+		if (!(current == valueOf(_neighbour.sent, upstream)))
 		{
-			setValue(_neighbour.told, upstream, told);
-			changes.push_back({upstream, told});
+			setValue(_neighbour.sent, upstream, current);
+			changes.push_back({upstream, current});
 		}
 	}
 	return changes;
 }
 
-void applyOthersLoad(LoadShare& _share, UpstreamTable& _table, TimeUs _now)
+void applyPeerLoads(LoadShare& _share, UpstreamTable& _table, TimeUs _now)
 {
 	for (auto& [link, child] : _share.children)
 	{
-		count(_share, child, isFresh(child, _now));
+		setCounted(_share, child, isFresh(child, _now));
 	}
-	count(_share, _share.parent, isFresh(_share.parent, _now));
-	takeOwnLoad(_share, _table);
-	_table.hearsOthers = !_share.children.empty() || _share.parent.toldAt != 0;
+	setCounted(_share, _share.parent, isFresh(_share.parent, _now));
+	updateOwnLoad(_share, _table);
+	_table.receivesPeerUpdates = !_share.children.empty() || _share.parent.receivedAt != 0;
 	for (auto& [idx, entry] : _table.entries)
 	{
 		const LoadCount others =
 			_table.policies.loadSharing ? othersLoad(_share, _share.own, entry.key) : LoadCount{};
 		entry.others = {double(others.prefillMs), uint32_t(std::max(0, others.inFlight))};
 	}
-	forgetIdle(_share, _table);
+	pruneIdle(_share, _table);
 }
 } // namespace spanplank
--- a/src/core/prompt_choice.cpp
+++ b/src/core/prompt_choice.cpp
@@ -14,7 +14,7 @@
 /// troubled and 0.786 on quiet days, at 500 ms 0.683 and 0.803 (mean of 20 and 4 plays).
 constexpr double kOtherHallMs = 500.0;
 /// Other routers send to the same homes: while they don't tell what, own waiting work stands for more.
-constexpr double kPeerLoad = 2.0;
+constexpr double kPeerLoadFactor = 2.0;
 /// What each running stream adds to the steps of the others until a first token: all streams, or this
 /// router's alone where the others' are not known.
 constexpr double kStreamMs = 0.3;
@@ -23,33 +23,34 @@
 /// beside 2 and 4 once the time for a token followed idle engines: mean worth of the troubled days of a
 /// deployment with heavy second runs 0.712 at 4, 0.714 at 8, its worst class 0.801 and 0.813 (two plays of
 /// each).
-constexpr double kReadingWeight = 8.0;
-constexpr double kLeastReadMs = 0.1;    ///< Of a prompt, so that a token never takes no time.
-constexpr double kFirstTokenMs = 0.02;  ///< Reading time of a prompt token before any was measured.
-constexpr uint32_t kLeastTokens = 1000; ///< Shorter prompts say little of the time for a token.
+constexpr double kPrefillWeight = 8.0;
+constexpr double kMinPrefillMs = 0.1;       ///< Of a prompt, so that a token never takes no time.
+constexpr double kInitialMsPerToken = 0.02; ///< Reading time of a prompt token before any was measured.
+constexpr uint32_t kMinSampleTokens = 1000; ///< Shorter prompts say little of the time for a token.
 /// The time for a token follows the quickest answers: all others waited for prompts before them, and say how
 /// busy the upstreams are. With 0.05 and 0.15, and without `kHeadStartMs`, a token of the smallest model was
 /// believed to take 0.04 ms on a quiet and 0.15 ms on a busy day, where an idle engine takes 0.005: waits
 /// were expected that were none, and prompts queued for an engine that keeps their parts longer than reading
 /// them again takes. Mean worth of the troubled days of a deployment with heavy second runs 0.699, with these
 /// 0.705, its quiet day 0.821 and 0.823 (two plays of each).
-constexpr double kTokenRise = 0.01;
-constexpr double kTokenFall = 0.3;
-constexpr double kHeadStartMs =
+constexpr double kMsPerTokenRise = 0.01;
+constexpr double kMsPerTokenFall = 0.3;
+constexpr double kFixedFirstTokenMs =
 	20.0; ///< Of a head's time, that does not depend on the prompt: ways and steps.
 /// Parts of the shared tokens that the first upstreams of the hash order likely keep, though this router has
 /// not sent them there lately: all routers prefer the first, and go to the second when that is loaded.
 constexpr size_t kPresumedHomes = 3;
-constexpr std::array<double, kPresumedHomes> kPresumedParts = {0.95, 0.8, 0.5};
+constexpr std::array<double, kPresumedHomes> kPresumedShares = {0.95, 0.8, 0.5};
 constexpr TimeUs kHomeLifetime = 15000 * kMsToUs; ///< After this pause a part has likely given way to others.
 /// The others remember a part's home for `kHomeLifetime`: telling it again sooner than this is no news.
-constexpr TimeUs kRetellAfter = 3000 * kMsToUs;
-constexpr size_t kMostHomes = 32;    ///< Of one part; the first parts of prompts are kept nearly everywhere.
-constexpr size_t kMostParts = 20000; ///< Remembered; about 100 bytes each.
+constexpr TimeUs kResendAfter = 3000 * kMsToUs;
+constexpr size_t kMaxHomesPerPart =
+	32;                             ///< Of one part; the first parts of prompts are kept nearly everywhere.
+constexpr size_t kMaxParts = 20000; ///< Remembered; about 100 bytes each.
 
-uint64_t hashRank(const UpstreamEntry& _entry, uint64_t _affinity)
+uint64_t hashRank(const UpstreamEntry& _entry, uint64_t _part)
 {
-	return stableHash(_entry.record.id, _affinity);
+	return stableHash(_entry.record.id, _part);
 }
 
 /// The first upstreams in the order of a prompt's shared parts: routers agree on it without a word.
@@ -82,36 +83,36 @@
 }
 
 /// @returns The part of shared tokens that an upstream is presumed to keep, by its place in the order.
-double presumedPart(const HomeOrder& _order, uint32_t _upstream)
+double presumedShare(const HomeOrder& _order, uint32_t _upstream)
 {
 	for (size_t place = 0; place < kPresumedHomes; ++place)
 	{
 		if (_order[place] == _upstream)
 		{
-			return kPresumedParts[place];
+			return kPresumedShares[place];
 		}
 	}
 	return 0.0;
 }
 
 /// @returns Reading time of a prompt token in milliseconds.
-double tokenMs(const UpstreamTable& _table, const UpstreamQuery& _query)
+double msPerToken(const UpstreamTable& _table, const UpstreamQuery& _query)
 {
-	const auto found = _table.paceOf.find(kindOf(_query));
-	return found == _table.paceOf.end() ? kFirstTokenMs : found->second.tokenMs;
+	const auto found = _table.prefillEstimates.find(serviceModelKey(_query));
+	return found == _table.prefillEstimates.end() ? kInitialMsPerToken : found->second.msPerToken;
 }
 
 /// The first samples count as a mean would count them, so that a router that has just started soon knows.
-void notePace(ReadingPace& _pace, double _sample)
+void updateEstimate(PrefillEstimate& _estimate, double _sample)
 {
-	const double early = 1.0 / double(++_pace.samples);
-	const double step = _sample > _pace.tokenMs ? kTokenRise : kTokenFall;
-	_pace.tokenMs += (_sample - _pace.tokenMs) * std::max(step, early);
+	const double early = 1.0 / double(++_estimate.samples);
+	const double step = _sample > _estimate.msPerToken ? kMsPerTokenRise : kMsPerTokenFall;
+	_estimate.msPerToken += (_sample - _estimate.msPerToken) * std::max(step, early);
 }
 
-bool wasReadAt(const UpstreamTable& _table, uint64_t _affinity, uint32_t _upstream, TimeUs _now)
+bool wasReadAt(const UpstreamTable& _table, uint64_t _part, uint32_t _upstream, TimeUs _now)
 {
-	const auto found = _table.homes.find(_affinity);
+	const auto found = _table.homes.find(_part);
 	if (found == _table.homes.end())
 	{
 		return false;
@@ -121,29 +122,29 @@
 	});
 }
 
-bool wasReadLately(const UpstreamTable& _table, uint64_t _affinity, TimeUs _now)
+bool wasReadLately(const UpstreamTable& _table, uint64_t _part, TimeUs _now)
 {
-	const auto found = _table.homes.find(_affinity);
+	const auto found = _table.homes.find(_part);
 	return found != _table.homes.end() && !found->second.empty() &&
 		   _now - found->second.front().at < kHomeLifetime;
 }
 
 /// @returns Tokens of the prompt that an upstream likely keeps. @param[in] _presumed Part of the shared
 /// tokens of which this router does not know better.
-double keptTokens(const UpstreamTable& _table, const UpstreamQuery& _query, uint32_t _upstream,
-				  double _presumed, TimeUs _now)
+double cachedTokens(const UpstreamTable& _table, const UpstreamQuery& _query, uint32_t _upstream,
+					double _presumed, TimeUs _now)
 {
-	double kept = 0.0;
-	bool seen = true; // An engine keeps a part only together with all parts before it.
+	double cached = 0.0;
+	bool prefixCached = true; // An engine keeps a part only together with all parts before it.
 	for (const SharedPart& part : _query.shared)
 	{
-		seen = seen && wasReadAt(_table, part.hash, _upstream, _now);
-		const bool hears = _table.hearsOthers && _table.policies.homeSharing;
-		const bool known = hears && wasReadLately(_table, part.hash, _now);
+		prefixCached = prefixCached && wasReadAt(_table, part.hash, _upstream, _now);
+		const bool receives = _table.receivesPeerUpdates && _table.policies.homeSharing;
+		const bool known = receives && wasReadLately(_table, part.hash, _now);
 		const double presumed = known ? 0.0 : _presumed;
-		kept += seen ? part.tokens : presumed * part.tokens;
+		cached += prefixCached ? part.tokens : presumed * part.tokens;
 	}
-	return kept;
+	return cached;
 }
 
 double promptTokens(const UpstreamQuery& _query)
@@ -158,9 +159,9 @@
 
 double waitMs(const UpstreamTable& _table, const UpstreamEntry& _entry)
 {
-	if (!_table.hearsOthers)
+	if (!_table.receivesPeerUpdates)
 	{
-		return kPeerLoad * _entry.prefillMs + kDecodeMs * _entry.inFlight;
+		return kPeerLoadFactor * _entry.prefillMs + kDecodeMs * _entry.inFlight;
 	}
 	const double streams = double(_entry.inFlight) + double(_entry.others.inFlight);
 	return _entry.prefillMs + _entry.others.prefillMs + kStreamMs * streams;
@@ -169,8 +170,8 @@
 /// What a request costs at an upstream.
 struct PromptCost
 {
-	double headMs = 0.0; ///< Expected time to the first token.
-	double cost = 0.0;   ///< With what its reading costs those that come after it.
+	double firstTokenMs = 0.0; ///< Expected time to the first token.
+	double cost = 0.0;         ///< With what its reading costs those that come after it.
 	bool timely = true;
 };
 
@@ -180,20 +181,20 @@
 	{
 		return _one.timely;
 	}
-	return _one.timely ? _one.cost < _other.cost : _one.headMs < _other.headMs;
+	return _one.timely ? _one.cost < _other.cost : _one.firstTokenMs < _other.firstTokenMs;
 }
 
 /// @param[in] _before When a part was last read at an upstream, as far as this router knows; 0: never.
-bool isNews(TimeUs _before, TimeUs _now)
+bool isDueForPeers(TimeUs _before, TimeUs _now)
 {
-	return _before == 0 || _now - _before > kRetellAfter;
+	return _before == 0 || _now - _before > kResendAfter;
 }
 
 /// Remembers that a shared part of a prompt is read at an upstream now.
 /// @returns When it was last read there, as far as this router knows; 0: never.
-TimeUs noteHome(UpstreamTable& _table, uint64_t _part, uint32_t _upstream, TimeUs _now)
+TimeUs recordHome(UpstreamTable& _table, uint64_t _part, uint32_t _upstream, TimeUs _now)
 {
-	if (_table.homes.size() >= kMostParts && _table.homes.count(_part) == 0)
+	if (_table.homes.size() >= kMaxParts && _table.homes.count(_part) == 0)
 	{
 		return 0;
 	}
@@ -207,7 +208,7 @@
 		homes.erase(known);
 	}
 	homes.insert(homes.begin(), {_upstream, _now});
-	homes.resize(std::min(homes.size(), kMostHomes));
+	homes.resize(std::min(homes.size(), kMaxHomesPerPart));
 	return before;
 }
 } // namespace
@@ -216,24 +217,24 @@
 						  const UpstreamQuery& _query, TimeUs _now, Random& _random)
 {
 	const HomeOrder order = homeOrder(_table, _candidates, _query);
-	const double perToken = tokenMs(_table, _query);
+	const double perToken = msPerToken(_table, _query);
 	const double tokens = promptTokens(_query);
 	uint32_t best = kInvalidIdx;
 	PromptCost bestCost;
 	for (const Candidate& candidate : _candidates)
 	{
 		const UpstreamEntry& entry = *candidate.entry;
-		const double presumed = presumedPart(order, candidate.idx);
-		const double kept = keptTokens(_table, _query, candidate.idx, presumed, _now);
+		const double presumed = presumedShare(order, candidate.idx);
+		const double cached = cachedTokens(_table, _query, candidate.idx, presumed, _now);
 		const bool near = entry.record.hall == _query.hall || !_table.policies.hallPreference;
 		const double hall = near ? 0.0 : kOtherHallMs;
 		const double health = failureFactor(entry.health);
-		const double readMs = perToken * (tokens - kept);
+		const double prefillMs = perToken * (tokens - cached);
 		const double jitter = kJitterMs * nextUnit(_random);
 		PromptCost cost;
-		cost.headMs = (readMs + waitMs(_table, entry)) * health + jitter;
-		cost.cost = (kReadingWeight * readMs + waitMs(_table, entry)) * health + hall + jitter;
-		cost.timely = _query.withinMs == 0.0 || cost.headMs < _query.withinMs;
+		cost.firstTokenMs = (prefillMs + waitMs(_table, entry)) * health + jitter;
+		cost.cost = (kPrefillWeight * prefillMs + waitMs(_table, entry)) * health + hall + jitter;
+		cost.timely = _query.firstTokenTargetMs == 0.0 || cost.firstTokenMs < _query.firstTokenTargetMs;
 		if (best == kInvalidIdx || isCheaper(cost, bestCost))
 		{
 			best = candidate.idx;
@@ -243,31 +244,32 @@
 	return UpstreamId{best};
 }
 
-void noteHomes(UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream, TimeUs _now)
+void recordHomes(UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream, TimeUs _now)
 {
 	const UpstreamKey key = _table.entries.at(_upstream.idx).key;
 	for (const SharedPart& part : _query.shared)
 	{
-		const TimeUs before = noteHome(_table, part.hash, _upstream.idx, _now);
-		const bool shares = _table.hearsOthers && _table.policies.homeSharing;
-		if (shares && !_query.limit.limited && isNews(before, _now) && _table.newHomes.size() < kMostNewHomes)
+		const TimeUs before = recordHome(_table, part.hash, _upstream.idx, _now);
+		const bool sendsHomes = _table.receivesPeerUpdates && _table.policies.homeSharing;
+		if (sendsHomes && !_query.limit.limited && isDueForPeers(before, _now) &&
+			_table.newHomes.size() < kMaxNewHomes)
 		{
 			_table.newHomes.push_back({part.hash, key});
 		}
 	}
 }
 
-bool notePeerHome(UpstreamTable& _table, const NewHome& _home, TimeUs _now)
+bool recordPeerHome(UpstreamTable& _table, const NewHome& _home, TimeUs _now)
 {
 	const auto found = _table.idxOfKey.find(_home.upstream);
 	if (found == _table.idxOfKey.end())
 	{
 		return false;
 	}
-	return isNews(noteHome(_table, _home.part, found->second, _now), _now);
+	return isDueForPeers(recordHome(_table, _home.part, found->second, _now), _now);
 }
 
-void forgetHomes(UpstreamTable& _table, TimeUs _now)
+void expireHomes(UpstreamTable& _table, TimeUs _now)
 {
 	for (auto at = _table.homes.begin(); at != _table.homes.end();)
 	{
@@ -276,14 +278,15 @@
 	}
 }
 
-void noteReadingPace(UpstreamTable& _table, const UpstreamQuery& _query, double _prefillMs, TimeUs _latency)
+void recordPrefillTime(UpstreamTable& _table, const UpstreamQuery& _query, double _prefillMs, TimeUs _latency)
 {
-	const double perToken = tokenMs(_table, _query);
+	const double perToken = msPerToken(_table, _query);
 	const double tokens = perToken > 0.0 ? _prefillMs / perToken : 0.0;
-	if (tokens >= kLeastTokens)
+	if (tokens >= kMinSampleTokens)
 	{
-		const double readMs = double(_latency) / double(kMsToUs) - kHeadStartMs;
-		notePace(_table.paceOf[kindOf(_query)], std::max(kLeastReadMs, readMs) / tokens);
+		const double prefillMs = double(_latency) / double(kMsToUs) - kFixedFirstTokenMs;
+		updateEstimate(_table.prefillEstimates[serviceModelKey(_query)],
+					   std::max(kMinPrefillMs, prefillMs) / tokens);
 	}
 }
 
@@ -291,13 +294,13 @@
 				   TimeUs _now)
 {
 	const HomeOrder order = homeOrder(_table, candidatesFor(_table, _query, _now), _query);
-	const double presumed = presumedPart(order, _upstream.idx);
-	return tokenMs(_table, _query) *
-		   (promptTokens(_query) - keptTokens(_table, _query, _upstream.idx, presumed, _now));
+	const double presumed = presumedShare(order, _upstream.idx);
+	return msPerToken(_table, _query) *
+		   (promptTokens(_query) - cachedTokens(_table, _query, _upstream.idx, presumed, _now));
 }
 
-double expectedHeadMs(const UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream,
-					  TimeUs _now)
+double expectedFirstTokenMs(const UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream,
+							TimeUs _now)
 {
 	const auto found = _table.entries.find(_upstream.idx);
 	if (found == _table.entries.end() || _query.shared.empty())
@@ -307,14 +310,14 @@
 	return prefillMsAt(_table, _query, _upstream, _now) + waitMs(_table, found->second);
 }
 
-double longestHeadMs(const UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream)
+double uncachedFirstTokenMs(const UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream)
 {
 	const auto found = _table.entries.find(_upstream.idx);
 	if (found == _table.entries.end() || _query.shared.empty())
 	{
 		return 0.0;
 	}
-	return tokenMs(_table, _query) * promptTokens(_query) + waitMs(_table, found->second);
+	return msPerToken(_table, _query) * promptTokens(_query) + waitMs(_table, found->second);
 }
 
 double expectedWaitMs(const UpstreamTable& _table, UpstreamId _upstream)
--- a/src/core/prompt_choice_p.h
+++ b/src/core/prompt_choice_p.h
@@ -1,4 +1,4 @@
-/// The choice of an upstream by the parts of a prompt, and what both ways to choose one share.
+/// Choice of an upstream by the parts of a prompt, and helpers shared with the choice by load.
 #ifndef SPANPLANK_PROMPT_CHOICE_P_H_HEADER_GUARD
 #define SPANPLANK_PROMPT_CHOICE_P_H_HEADER_GUARD
 
@@ -9,39 +9,41 @@
 
 namespace spanplank
 {
-/// An upstream that may take a request.
+/// An upstream that may receive a request.
 struct Candidate
 {
 	uint32_t idx = kInvalidIdx;
 	const UpstreamEntry* entry = nullptr;
 };
 
-/// @returns The upstreams that may take a request: the healthy ones, without those the ejected ones, without
-/// any the ones whose registration lapsed while the store was in trouble.
+/// @returns The upstreams that may receive a request: the healthy ones; if there are none, the ejected ones;
+/// if there are none either, those whose registration lapsed in a store outage.
 std::vector<Candidate> candidatesFor(const UpstreamTable& _table, const UpstreamQuery& _query, TimeUs _now);
 
-/// @returns What an upstream's wait is multiplied by for its failures; 1: none.
+/// @returns Factor by which an upstream's failures multiply its expected wait; 1 without failures.
 double failureFactor(const UpstreamHealth& _health);
 
-/// @returns What an upstream's load is multiplied by for its slowness and its failures; 1: sound. Not for
-/// prompts: how long they take says more of their length and of what was ahead of them than of the upstream.
+/// @returns Factor by which an upstream's slowness and failures multiply its load; 1 if it is healthy. Not
+/// used for prompts, whose latency depends more on their length and the queue than on the upstream.
 double healthFactor(const UpstreamHealth& _health);
 
-/// @returns Key of what is measured by service and model.
-std::string kindOf(const UpstreamQuery& _query);
+/// @returns The key of statistics that are kept by service and model.
+std::string serviceModelKey(const UpstreamQuery& _query);
 
-/// @returns The cheapest candidate of those that are expected to be in time; without one, the soonest.
+/// @returns The cheapest candidate that is expected to meet the time target; if there is none, the fastest.
 UpstreamId cheapestInTime(const UpstreamTable& _table, const std::vector<Candidate>& _candidates,
 						  const UpstreamQuery& _query, TimeUs _now, Random& _random);
 
-/// Remembers that the shared parts of a prompt are read at an upstream now.
-void noteHomes(UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream, TimeUs _now);
+/// Records that an upstream reads the shared parts of a prompt now.
+void recordHomes(UpstreamTable& _table, const UpstreamQuery& _query, UpstreamId _upstream, TimeUs _now);
 
-/// Forgets where parts were read that have likely given way to others by now.
-void forgetHomes(UpstreamTable& _table, TimeUs _now);
+/// Removes the homes of parts that the upstreams have likely evicted from their caches.
+void expireHomes(UpstreamTable& _table, TimeUs _now);
 
-/// Learns from a first token how fast prompts are read. @param[in] _prefillMs Expected when it was sent.
-void noteReadingPace(UpstreamTable& _table, const UpstreamQuery& _query, double _prefillMs, TimeUs _latency);
+/// Updates the prefill estimate from a time to first token.
+/// @param[in] _prefillMs Prefill time that was expected when the prompt was sent.
+void recordPrefillTime(UpstreamTable& _table, const UpstreamQuery& _query, double _prefillMs,
+					   TimeUs _latency);
 } // namespace spanplank
 
 #endif // SPANPLANK_PROMPT_CHOICE_P_H_HEADER_GUARD
--- a/src/core/router_core.cpp
+++ b/src/core/router_core.cpp
@@ -878,7 +878,7 @@
 
 void onSuspects(RouterCore& _core, const Suspects& _news, TimeUs _now, RouterActions& _actions)
 {
-	for (const RequestDigest& digest : takeSuspectNews(_core.suspects, _news.suspects, _now))
+	for (const RequestDigest& digest : applySuspectUpdates(_core.suspects, _news.suspects, _now))
 	{
 		std::vector<uint64_t> copies;
 		for (const auto& [id, request] : _core.requests)
--- a/src/core/upstream_lives.cpp
+++ b/src/core/upstream_registrations.cpp
@@ -1,5 +1,5 @@
 /// Registrations of upstreams: when a life of one begins, goes and is forgotten.
-#include "upstream_lives_p.h"
+#include "upstream_registrations_p.h"
 
 #include <fmt/format.h>
 #include <set>
@@ -11,31 +11,31 @@
 {
 namespace
 {
-constexpr TimeUs kForgetAfter = 30000 * kMsToUs;
+constexpr TimeUs kRemoveAfter = 30000 * kMsToUs;
 
 /// An upstream is taken for cold until a moment, if its service has a bound for that.
-void noteCold(const UpstreamTable& _table, UpstreamEntry& _entry, ColdCause _cause, TimeUs _until)
+void markColdIfLimited(const UpstreamTable& _table, UpstreamEntry& _entry, ColdCause _cause, TimeUs _until)
 {
 	if (coldServiceOf(_table, _entry.record.service) != nullptr)
 	{
-		noteCold(_entry.cold, _cause, _until);
+		markCold(_entry.cold, _cause, _until);
 	}
 }
 
 /// What is known of an upstream ends with its life. Its entry stays for what is still in flight there.
-void endLife(UpstreamTable& _table, const std::string& _id, TimeUs _now)
+void endIncarnation(UpstreamTable& _table, const std::string& _id, TimeUs _now)
 {
 	const uint32_t idx = _table.idxOfId.at(_id);
 	UpstreamEntry& entry = _table.entries.at(idx);
-	entry.record.leaving = true;
-	entry.goneAt = entry.registered ? _now : entry.goneAt;
+	entry.record.draining = true;
+	entry.unregisteredAt = entry.registered ? _now : entry.unregisteredAt;
 	entry.registered = false;
 	entry.lapse = {};
 	_table.idxOfId.erase(_id);
 }
 
 template <typename Map, typename Key>
-void eraseIf(Map& _map, const Key& _key, uint32_t _idx)
+void eraseIfMapped(Map& _map, const Key& _key, uint32_t _idx)
 {
 	const auto found = _map.find(_key);
 	if (found != _map.end() && found->second == _idx)
@@ -45,34 +45,35 @@
 }
 } // namespace
 
-UpstreamKey keyOf(std::string_view _id, uint64_t _born)
+UpstreamKey keyOf(std::string_view _id, uint64_t _startedAtMs)
 {
-	return UpstreamKey(stableHash(_id, _born));
+	return UpstreamKey(stableHash(_id, _startedAtMs));
 }
 
-std::string lifeName(const UpstreamRecord& _record)
+std::string incarnationName(const UpstreamRecord& _record)
 {
-	return _record.born == 0 ? _record.id : fmt::format("{}@{}", _record.id, _record.born);
+	return _record.startedAtMs == 0 ? _record.id : fmt::format("{}@{}", _record.id, _record.startedAtMs);
 }
 
-LifeOrder lifeOrder(const UpstreamTable& _table, const UpstreamRecord& _record)
+IncarnationOrder incarnationOrder(const UpstreamTable& _table, const UpstreamRecord& _record)
 {
-	const UpstreamId known = currentLife(_table, _record.id);
+	const UpstreamId known = currentIncarnation(_table, _record.id);
 	if (!isValid(known))
 	{
-		return LifeOrder::First;
+		return IncarnationOrder::First;
 	}
 	const UpstreamRecord& before = _table.entries.at(known.idx).record;
-	const uint64_t born = before.born;
-	const bool firstTold = born == 0 && !before.leaving; // One that leaves does not begin to tell it.
-	if (born == _record.born || firstTold || _record.born == 0)
+	const uint64_t startedAtMs = before.startedAtMs;
+	const bool firstReported =
+		startedAtMs == 0 && !before.draining; // One that leaves does not begin to tell it.
+	if (startedAtMs == _record.startedAtMs || firstReported || _record.startedAtMs == 0)
 	{
-		return LifeOrder::Same;
+		return IncarnationOrder::Same;
 	}
-	return _record.born > born ? LifeOrder::Newer : LifeOrder::Older;
+	return _record.startedAtMs > startedAtMs ? IncarnationOrder::Newer : IncarnationOrder::Older;
 }
 
-UpstreamId currentLife(const UpstreamTable& _table, const std::string& _id)
+UpstreamId currentIncarnation(const UpstreamTable& _table, const std::string& _id)
 {
 	const auto known = _table.idxOfId.find(_id);
 	return known == _table.idxOfId.end() ? UpstreamId{} : UpstreamId{known->second};
@@ -80,37 +81,37 @@
 
 UpstreamId registerUpstream(UpstreamTable& _table, const UpstreamRecord& _record, TimeUs _now)
 {
-	const LifeOrder order = lifeOrder(_table, _record);
-	if (order == LifeOrder::Older)
+	const IncarnationOrder order = incarnationOrder(_table, _record);
+	if (order == IncarnationOrder::Older)
 	{
-		return currentLife(_table, _record.id);
+		return currentIncarnation(_table, _record.id);
 	}
-	if (order == LifeOrder::Newer)
+	if (order == IncarnationOrder::Newer)
 	{
-		endLife(_table, _record.id, _now);
+		endIncarnation(_table, _record.id, _now);
 	}
-	const auto [known, fresh] = _table.idxOfId.try_emplace(_record.id, _table.nextIdx);
-	if (fresh)
+	const auto [known, isNew] = _table.idxOfId.try_emplace(_record.id, _table.nextIdx);
+	if (isNew)
 	{
 		++_table.nextIdx;
 	}
 	UpstreamEntry& entry = _table.entries[known->second];
 	// The same record read again, by a list, says nothing new: its upstream may be warm by now.
 	const bool isNews = _record.revision == 0 || _record.revision != entry.record.revision;
-	const bool leaving =
-		entry.record.leaving; // An upstream that leaves does not come back, but by a new start.
-	const uint64_t born = _record.born != 0 ? _record.born : entry.record.born;
+	const bool draining =
+		entry.record.draining; // An upstream that leaves does not come back, but by a new start.
+	const uint64_t startedAtMs = _record.startedAtMs != 0 ? _record.startedAtMs : entry.record.startedAtMs;
 	entry.record = _record;
-	entry.record.born = born;
-	entry.key = keyOf(_record.id, born);
+	entry.record.startedAtMs = startedAtMs;
+	entry.key = keyOf(_record.id, startedAtMs);
 	_table.idxOfKey[entry.key] = known->second;
-	entry.record.leaving = _record.leaving || leaving;
+	entry.record.draining = _record.draining || draining;
 	entry.registered = true;
-	entry.goneAt = 0;
+	entry.unregisteredAt = 0;
 	entry.lapse = {};
 	if (isNews && _record.coldMs > 0)
 	{
-		noteCold(_table, entry, ColdCause::Told, _now + TimeUs(_record.coldMs) * kMsToUs);
+		markColdIfLimited(_table, entry, ColdCause::Reported, _now + TimeUs(_record.coldMs) * kMsToUs);
 	}
 	return UpstreamId{known->second};
 }
@@ -128,7 +129,7 @@
 		return;
 	}
 	entry.registered = false;
-	entry.goneAt = _now;
+	entry.unregisteredAt = _now;
 	entry.lapse = judgeLapse(_table.contact, _now);
 }
 
@@ -162,17 +163,18 @@
 	return gone;
 }
 
-void forgetGone(UpstreamTable& _table, TimeUs _now)
+void removeGoneUpstreams(UpstreamTable& _table, TimeUs _now)
 {
-	forgetHomes(_table, _now);
+	expireHomes(_table, _now);
 	for (auto at = _table.entries.begin(); at != _table.entries.end();)
 	{
 		const UpstreamEntry& entry = at->second;
-		const bool gone = !entry.registered && entry.inFlight == 0 && _now - entry.goneAt > kForgetAfter;
+		const bool gone =
+			!entry.registered && entry.inFlight == 0 && _now - entry.unregisteredAt > kRemoveAfter;
 		if (gone)
 		{
-			eraseIf(_table.idxOfId, entry.record.id, at->first); // Another life may have the id by now.
-			eraseIf(_table.idxOfKey, entry.key, at->first);
+			eraseIfMapped(_table.idxOfId, entry.record.id, at->first); // Another life may have the id by now.
+			eraseIfMapped(_table.idxOfKey, entry.key, at->first);
 		}
 		at = gone ? _table.entries.erase(at) : std::next(at);
 	}
--- a/src/core/upstream_table.cpp
+++ b/src/core/upstream_table.cpp
@@ -6,40 +6,40 @@
 #include <vector>
 
 #include "prompt_choice_p.h"
-#include "upstream_lives_p.h"
+#include "upstream_registrations_p.h"
 
 namespace spanplank
 {
 namespace
 {
-constexpr double kDecay = 0.85;        ///< Weight of the past in a failure rate; about 6 attempts count.
+constexpr double kFailureDecay = 0.85; ///< Weight of the past in a failure rate; about 6 attempts count.
 constexpr double kLatencyDecay = 0.9;  ///< Weight of the past in a latency.
 constexpr double kServiceDecay = 0.98; ///< Of a service's latency, which many upstreams feed.
 /// Above it an upstream is ejected; services fail up to 0.15 by themselves.
-constexpr double kEjectRate = 0.4;
-constexpr uint32_t kEjectSamples = 5;        ///< Attempts before a rate is believed.
-constexpr uint32_t kSilentInRow = 2;         ///< Silent attempts in a row that eject.
-constexpr uint32_t kFailedInRow = 4;         ///< Failed attempts in a row that eject.
-constexpr TimeUs kEjection = 1000 * kMsToUs; ///< First ejection; each further one doubles it.
-constexpr uint32_t kMostDoublings = 3;
+constexpr double kEjectFailureRate = 0.4;
+constexpr uint32_t kMinEjectSamples = 5;          ///< Attempts before a rate is believed.
+constexpr uint32_t kTimeoutsToEject = 2;          ///< Silent attempts in a row that eject.
+constexpr uint32_t kFailuresToEject = 4;          ///< Failed attempts in a row that eject.
+constexpr TimeUs kFirstEjection = 1000 * kMsToUs; ///< First ejection; each further one doubles it.
+constexpr uint32_t kMaxEjectionDoublings = 3;
 constexpr double kFailureWeight = 4.0; ///< Times the share of failed attempts, as a part of the load or wait.
 constexpr double kLoadJitter = 0.01;   ///< Requests in flight; between equal upstreams chance decides.
-constexpr double kOtherHall = 1.0;     ///< Requests in flight that another hall counts as.
+constexpr double kOtherHallLoad = 1.0; ///< Requests in flight that another hall counts as.
 
 bool matches(const UpstreamEntry& _entry, const UpstreamQuery& _query, uint32_t _idx)
 {
 	const bool versionFits = _query.version.empty()
 								 ? _entry.record.version != _query.notVersion || _query.notVersion.empty()
 								 : _entry.record.version == _query.version;
-	const bool fresh = _query.tried == nullptr || _query.tried->count(_idx) == 0;
-	return _entry.record.service == _query.service && versionFits && fresh &&
+	const bool untried = _query.tried == nullptr || _query.tried->count(_idx) == 0;
+	return _entry.record.service == _query.service && versionFits && untried &&
 		   isAllowed(_query.limit, _entry.record.hall);
 }
 
 /// @returns Whether an upstream whose registration lapsed may still return, within a share of the bound.
-bool mayReturn(const UpstreamTable& _table, const UpstreamEntry& _entry, double _share, TimeUs _now)
+bool mayReregister(const UpstreamTable& _table, const UpstreamEntry& _entry, double _share, TimeUs _now)
 {
-	const TimeUs grace = std::min(kReturnGrace, TimeUs(double(_table.leaveBound) * _share));
+	const TimeUs grace = std::min(kReregistrationGrace, TimeUs(double(_table.drainBound) * _share));
 	return _entry.lapse.cause != LapseCause::Calm && _now - _entry.lapse.since < grace;
 }
 
@@ -49,15 +49,15 @@
 }
 
 /// An upstream whose ejection is over gets one request that may be repeated; the others wait for its outcome.
-bool mayTry(const UpstreamEntry& _entry, bool _repeatable)
+bool mayProbe(const UpstreamEntry& _entry, bool _repeatable)
 {
 	const bool returning = _entry.health.ejections > 0;
-	return !returning || (_repeatable && !_entry.health.onTrial);
+	return !returning || (_repeatable && !_entry.health.probing);
 }
 
 double loadOf(const UpstreamEntry& _entry, std::string_view _hall)
 {
-	const double away = _entry.record.hall == _hall ? 0.0 : kOtherHall;
+	const double away = _entry.record.hall == _hall ? 0.0 : kOtherHallLoad;
 	return (double(_entry.inFlight) + 1.0) * healthFactor(_entry.health) + away;
 }
 
@@ -79,15 +79,15 @@
 
 void eject(UpstreamHealth& _health, TimeUs _now)
 {
-	_health.ejectedUntil = _now + (kEjection << std::min(_health.ejections, kMostDoublings));
+	_health.ejectedUntil = _now + (kFirstEjection << std::min(_health.ejections, kMaxEjectionDoublings));
 	++_health.ejections;
-	_health.failuresInRow = 0;
+	_health.consecutiveFailures = 0;
 	_health.failureRate = 0.0;
 	_health.samples = 0;
 }
 
 /// Compares an upstream with its service.
-void noteSlowness(UpstreamTable& _table, UpstreamEntry& _entry, const std::string& _kind, TimeUs _latency)
+void updateSlowness(UpstreamTable& _table, UpstreamEntry& _entry, const std::string& _kind, TimeUs _latency)
 {
 	double& mean = _table.latencyOf[_kind];
 	mean = mean == 0.0 ? double(_latency) : mean * kServiceDecay + double(_latency) * (1.0 - kServiceDecay);
@@ -96,40 +96,41 @@
 }
 
 /// As long as after a start.
-void noteMaybeStarted(const UpstreamTable& _table, UpstreamEntry& _entry, ColdCause _cause, TimeUs _now)
+void markPossiblyRestarted(const UpstreamTable& _table, UpstreamEntry& _entry, ColdCause _cause, TimeUs _now)
 {
 	const ColdService* service = coldServiceOf(_table, _entry.record.service);
 	if (service != nullptr)
 	{
-		noteCold(_entry.cold, _cause, _now + service->startTime);
+		markCold(_entry.cold, _cause, _now + service->warmupTime);
 	}
 }
 
 /// An upstream that takes no connection may be starting again. Its registration tells, but later than it
 /// takes the first connection, or not at all while the store is away: it is cold until it has been reachable
 /// for as long as a start takes.
-void noteReach(const UpstreamTable& _table, UpstreamEntry& _entry, HealthSign _sign, TimeUs _now)
+void updateReachability(const UpstreamTable& _table, UpstreamEntry& _entry, HealthOutcome _outcome,
+						TimeUs _now)
 {
-	const bool returns = _sign == HealthSign::Good && _entry.health.ejections > 0 && _entry.unreachable;
-	if (_sign == HealthSign::Unreachable || returns)
+	const bool returns = _outcome == HealthOutcome::Good && _entry.health.ejections > 0 && _entry.unreachable;
+	if (_outcome == HealthOutcome::Unreachable || returns)
 	{
-		noteMaybeStarted(_table, _entry, ColdCause::Unreachable, _now);
+		markPossiblyRestarted(_table, _entry, ColdCause::Unreachable, _now);
 	}
-	_entry.unreachable = _sign == HealthSign::Unreachable || (_entry.unreachable && !returns);
+	_entry.unreachable = _outcome == HealthOutcome::Unreachable || (_entry.unreachable && !returns);
 }
 
-bool shouldEject(const UpstreamHealth& _health, HealthSign _sign)
+bool shouldEject(const UpstreamHealth& _health, HealthOutcome _outcome)
 {
-	if (_sign == HealthSign::Unreachable)
+	if (_outcome == HealthOutcome::Unreachable)
 	{
 		return true;
 	}
-	if (_sign == HealthSign::Silent && _health.failuresInRow >= kSilentInRow)
+	if (_outcome == HealthOutcome::TimedOut && _health.consecutiveFailures >= kTimeoutsToEject)
 	{
 		return true;
 	}
-	const bool oftenEnough = _health.samples >= kEjectSamples && _health.failureRate > kEjectRate;
-	return _health.failuresInRow >= kFailedInRow || oftenEnough;
+	const bool failsOften = _health.samples >= kMinEjectSamples && _health.failureRate > kEjectFailureRate;
+	return _health.consecutiveFailures >= kFailuresToEject || failsOften;
 }
 } // namespace
 
@@ -139,7 +140,7 @@
 	return found != _table.coldServices.end() && found->second.perSecond > 0.0 ? &found->second : nullptr;
 }
 
-std::string kindOf(const UpstreamQuery& _query)
+std::string serviceModelKey(const UpstreamQuery& _query)
 {
 	return std::string(_query.service) + " " + std::string(_query.model);
 }
@@ -162,19 +163,19 @@
 	for (const auto& [idx, entry] : _table.entries)
 	{
 		if (!matches(entry, _query, idx) || isEvacuated(_table.halls, entry.record.hall) ||
-			!mayTake(entry.cold, _now))
+			!mayAcceptRequest(entry.cold, _now))
 		{
 			continue;
 		}
 		if (!isUsable(_table, entry, _now))
 		{
-			if (!entry.record.leaving && mayReturn(_table, entry, kLastGraceShare, _now))
+			if (!entry.record.draining && mayReregister(_table, entry, kFallbackGraceShare, _now))
 			{
 				lapsed.push_back({idx, &entry});
 			}
 			continue;
 		}
-		const bool fit = !isEjected(entry, _now) && mayTry(entry, _query.repeatable);
+		const bool fit = !isEjected(entry, _now) && mayProbe(entry, _query.repeatable);
 		(fit ? healthy : ejected).push_back({idx, &entry});
 	}
 	if (healthy.empty() && ejected.empty())
@@ -190,13 +191,13 @@
 	return kNames[size_t(_why)];
 }
 
-NoUpstream whyNone(const UpstreamTable& _table, const UpstreamQuery& _query, TimeUs _now)
+NoUpstream noUpstreamReason(const UpstreamTable& _table, const UpstreamQuery& _query, TimeUs _now)
 {
 	bool evacuated = false;
 	bool outside = false;
 	for (const auto& [idx, entry] : _table.entries)
 	{
-		if (!entry.registered || entry.record.leaving || entry.record.service != _query.service)
+		if (!entry.registered || entry.record.draining || entry.record.service != _query.service)
 		{
 			continue;
 		}
@@ -207,7 +208,7 @@
 		}
 		if (!isEvacuated(_table.halls, entry.record.hall))
 		{
-			return nextColdTake(_table, _query, _now) ? NoUpstream::Cold : NoUpstream::None;
+			return nextColdSendAt(_table, _query, _now) ? NoUpstream::Cold : NoUpstream::None;
 		}
 		evacuated = true;
 	}
@@ -218,13 +219,13 @@
 	return outside ? NoUpstream::Regions : NoUpstream::None;
 }
 
-void noteHallOpened(UpstreamTable& _table, const std::string& _hall, TimeUs _now)
+void recordHallReopened(UpstreamTable& _table, const std::string& _hall, TimeUs _now)
 {
 	for (auto& [idx, entry] : _table.entries)
 	{
 		if (entry.record.hall == _hall)
 		{
-			noteMaybeStarted(_table, entry, ColdCause::HallOpened, _now);
+			markPossiblyRestarted(_table, entry, ColdCause::HallOpened, _now);
 		}
 	}
 }
@@ -235,7 +236,7 @@
 	return found != _table.entries.end() && isCold(found->second.cold, _now);
 }
 
-std::optional<TimeUs> nextColdTake(const UpstreamTable& _table, const UpstreamQuery& _query, TimeUs _now)
+std::optional<TimeUs> nextColdSendAt(const UpstreamTable& _table, const UpstreamQuery& _query, TimeUs _now)
 {
 	std::optional<TimeUs> next;
 	for (const auto& [idx, entry] : _table.entries)
@@ -243,7 +244,7 @@
 		const bool usable = matches(entry, _query, idx) && isUsable(_table, entry, _now);
 		if (usable && isCold(entry.cold, _now))
 		{
-			next = std::min(next.value_or(INT64_MAX), nextTake(entry.cold));
+			next = std::min(next.value_or(INT64_MAX), nextRequestAt(entry.cold));
 		}
 	}
 	return next;
@@ -251,17 +252,17 @@
 
 bool isUsable(const UpstreamTable& _table, const UpstreamEntry& _entry, TimeUs _now)
 {
-	if (_entry.record.leaving || isEvacuated(_table.halls, _entry.record.hall))
+	if (_entry.record.draining || isEvacuated(_table.halls, _entry.record.hall))
 	{
 		return false;
 	}
-	return _entry.registered || mayReturn(_table, _entry, kGraceShare, _now);
+	return _entry.registered || mayReregister(_table, _entry, kRegularGraceShare, _now);
 }
 
 bool maySendTo(const UpstreamTable& _table, UpstreamId _id, TimeUs _now, bool _asCold)
 {
 	const auto found = _table.entries.find(_id.idx);
-	if (found == _table.entries.end() || found->second.record.leaving ||
+	if (found == _table.entries.end() || found->second.record.draining ||
 		isEvacuated(_table.halls, found->second.record.hall))
 	{
 		return false;
@@ -270,7 +271,7 @@
 	{
 		return false; // It turned cold since it was chosen.
 	}
-	return found->second.registered || mayReturn(_table, found->second, kLastGraceShare, _now);
+	return found->second.registered || mayReregister(_table, found->second, kFallbackGraceShare, _now);
 }
 
 UpstreamId pickDirectUpstream(const UpstreamTable& _table, const UpstreamQuery& _query, TimeUs _now,
@@ -288,24 +289,24 @@
 	return cheapestInTime(_table, candidates, _query, _now, _random);
 }
 
-double noteSent(UpstreamTable& _table, UpstreamId _id, const UpstreamQuery& _query, TimeUs _now)
+double recordSent(UpstreamTable& _table, UpstreamId _id, const UpstreamQuery& _query, TimeUs _now)
 {
 	UpstreamEntry& entry = _table.entries.at(_id.idx);
 	++entry.inFlight;
-	noteTaken(entry.cold, _now);
-	entry.health.onTrial = entry.health.ejections > 0 && !isEjected(entry, _now);
+	recordColdRequest(entry.cold, _now);
+	entry.health.probing = entry.health.ejections > 0 && !isEjected(entry, _now);
 	if (_query.shared.empty())
 	{
 		return 0.0;
 	}
 	const double prefillMs = prefillMsAt(_table, _query, _id, _now);
 	entry.prefillMs += prefillMs;
-	noteHomes(_table, _query, _id, _now);
+	recordHomes(_table, _query, _id, _now);
 	return prefillMs;
 }
 
-void noteHead(UpstreamTable& _table, UpstreamId _id, const UpstreamQuery& _query, double _prefillMs,
-			  TimeUs _latency)
+void recordFirstToken(UpstreamTable& _table, UpstreamId _id, const UpstreamQuery& _query, double _prefillMs,
+					  TimeUs _latency)
 {
 	const auto found = _table.entries.find(_id.idx);
 	if (found == _table.entries.end())
@@ -314,12 +315,12 @@
 	}
 	UpstreamEntry& entry = found->second;
 	entry.prefillMs = std::max(0.0, entry.prefillMs - _prefillMs);
-	noteSlowness(_table, entry, kindOf(_query), _latency);
-	noteReadingPace(_table, _query, _prefillMs, _latency);
+	updateSlowness(_table, entry, serviceModelKey(_query), _latency);
+	recordPrefillTime(_table, _query, _prefillMs, _latency);
 }
 
-HealthChange noteEnded(UpstreamTable& _table, UpstreamId _id, double _prefillMs, HealthSign _sign,
-					   TimeUs _now)
+HealthChange recordEnded(UpstreamTable& _table, UpstreamId _id, double _prefillMs, HealthOutcome _outcome,
+						 TimeUs _now)
 {
 	const auto found = _table.entries.find(_id.idx);
 	if (found == _table.entries.end())
@@ -330,16 +331,16 @@
 	UpstreamHealth& health = entry.health;
 	entry.inFlight -= std::min(entry.inFlight, 1u);
 	entry.prefillMs = entry.inFlight == 0 ? 0.0 : std::max(0.0, entry.prefillMs - _prefillMs);
-	health.onTrial = false;
-	if (_sign == HealthSign::None)
+	health.probing = false;
+	if (_outcome == HealthOutcome::None)
 	{
 		return HealthChange::None;
 	}
-	const bool good = _sign == HealthSign::Good;
-	noteReach(_table, entry, _sign, _now);
+	const bool good = _outcome == HealthOutcome::Good;
+	updateReachability(_table, entry, _outcome, _now);
 	++health.samples;
-	health.failureRate = health.failureRate * kDecay + (good ? 0.0 : 1.0 - kDecay);
-	health.failuresInRow = good ? 0 : health.failuresInRow + 1;
+	health.failureRate = health.failureRate * kFailureDecay + (good ? 0.0 : 1.0 - kFailureDecay);
+	health.consecutiveFailures = good ? 0 : health.consecutiveFailures + 1;
 	if (good)
 	{
 		const bool wasEjected = health.ejections > 0;
@@ -348,7 +349,7 @@
 		return wasEjected ? HealthChange::Returned : HealthChange::None;
 	}
 	if (_table.policies.ejection && !isEjected(entry, _now) &&
-		(health.ejections > 0 || shouldEject(health, _sign)))
+		(health.ejections > 0 || shouldEject(health, _outcome)))
 	{
 		eject(health, _now);
 		return HealthChange::Ejected;
--- a/src/direct/choose_upstream.cpp
+++ b/src/direct/choose_upstream.cpp
@@ -26,7 +26,7 @@
 	query.repeatable = _serving.plan.repeatable;
 	query.tried = &_serving.plan.tried;
 	query.limit = _serving.limit;
-	query.withinMs = timelyWithinMs(_serving.plan, monotonicNow());
+	query.firstTokenTargetMs = timelyWithinMs(_serving.plan, monotonicNow());
 	const std::vector<platform::PromptPart>& parts = _serving.call.parts;
 	if (parts.empty())
 	{
@@ -97,7 +97,7 @@
 	const TimeUs now = monotonicNow();
 	const UpstreamQuery query = queryOf(_serving, _serving.plan.models[nextModel(_serving.plan)]);
 	const UpstreamId upstream = pickUpstreamFor(_serving, query, now);
-	return {expectedHeadMs(router.upstreams, query, upstream, now),
+	return {expectedFirstTokenMs(router.upstreams, query, upstream, now),
 			expectedWaitMs(router.upstreams, upstream), router.pressure[_serving.service].share,
 			isValid(upstream)};
 }
--- a/src/direct/cold_sharing.cpp
+++ b/src/direct/cold_sharing.cpp
@@ -29,7 +29,7 @@
 {
 	UpstreamTable& table = _router.upstreams;
 	const ColdSharing sharing =
-		_router.settings.policies.coldOwners ? ColdSharing::Owners : ColdSharing::EqualParts;
+		_router.settings.policies.coldOwners ? ColdSharing::Owners : ColdSharing::EqualShares;
 	std::optional<Fleet> fleet;
 	for (auto& [idx, entry] : table.entries)
 	{
@@ -62,7 +62,7 @@
 		fleet.others.push_back({box, entry.record.hall});
 	}
 	const TimeUs since = peers.registration.standsSince;
-	fleet.settled = _router.settings.link.port == 0 || (since != 0 && _now - since >= kSettle);
+	fleet.synced = _router.settings.link.port == 0 || (since != 0 && _now - since >= kSettle);
 	return fleet;
 }
 
--- a/src/direct/direct_metrics.cpp
+++ b/src/direct/direct_metrics.cpp
@@ -53,7 +53,7 @@
 	addGauge(page, "suspects", "Requests under which upstreams ended lately.",
 			 double(_router.suspects.suspects.size()));
 	addGauge(page, "suspects_refused", "Those of them that are refused.",
-			 double(refusedSuspects(_router.suspects)));
+			 double(countRefusedSuspects(_router.suspects)));
 	addCounter(page, "escalations_total", "Answers dropped for the next model's.", double(stats.escalated));
 	addCounters(page, "usage_reports_total", "Reports of usage to the platform, by their answers.", "answer",
 				stats.usageReports);
--- a/src/direct/direct_router.cpp
+++ b/src/direct/direct_router.cpp
@@ -80,10 +80,10 @@
 		sleepFor(kHousekeepingMs);
 		const TimeUs now = monotonicNow();
 		dropIdle(_router.pool, now);
-		forgetGone(_router.upstreams, now);
+		removeGoneUpstreams(_router.upstreams, now);
 		forgetProbes(_router, now);
 		forgetBreaks(_router, now);
-		forgetOldSuspects(_router.suspects, now);
+		expireSuspects(_router.suspects, now);
 	}
 }
 
@@ -92,7 +92,7 @@
 {
 	_router.settings = _settings;
 	_router.trials.exposureShare = _settings.exposureShare;
-	_router.upstreams.leaveBound = TimeUs(_settings.leaveMs) * kMsToUs;
+	_router.upstreams.drainBound = TimeUs(_settings.leaveMs) * kMsToUs;
 	StoreContact& contact = _router.upstreams.contact;
 	contact.heartbeat = TimeUs(_settings.heartbeatMs) * kMsToUs;
 	contact.watchGap = TimeUs(_settings.watchPauseMs + _settings.configWaitMs) * kMsToUs;
--- a/src/direct/direct_router_p.h
+++ b/src/direct/direct_router_p.h
@@ -117,7 +117,7 @@
 	std::map<uint32_t, std::shared_ptr<ReachProbe>> probes; ///< By upstream.
 	std::map<uint32_t, std::vector<RecentBreak>> breaks;    ///< By upstream.
 	TrialBook trials;
-	SuspectBook suspects;
+	SuspectTable suspects;
 	std::map<RequestDigest, StoredSuspect> storedSuspects;
 	std::map<std::string, RetryWindow> retries;   ///< By service.
 	std::map<std::string, HeadPressure> pressure; ///< By service.
--- a/src/direct/note_attempt.cpp
+++ b/src/direct/note_attempt.cpp
@@ -45,28 +45,28 @@
 	return times;
 }
 
-HealthSign signOf(AttemptEnd _end)
+HealthOutcome signOf(AttemptEnd _end)
 {
 	switch (_end)
 	{
 	case AttemptEnd::Whole:
 	case AttemptEnd::Doubted:
-		return HealthSign::Good;
+		return HealthOutcome::Good;
 	case AttemptEnd::NotSent:
-		return HealthSign::Unreachable;
+		return HealthOutcome::Unreachable;
 	case AttemptEnd::Failed:
 	case AttemptEnd::Broken:
 	case AttemptEnd::Misdirected:
-		return HealthSign::Failed;
+		return HealthOutcome::Failed;
 	case AttemptEnd::Silent:
 	case AttemptEnd::TimeUp:
-		return HealthSign::Silent;
+		return HealthOutcome::TimedOut;
 	case AttemptEnd::NotRun:
 	case AttemptEnd::CallerLeft:
 	case AttemptEnd::Overtaken:
 		break;
 	}
-	return HealthSign::None;
+	return HealthOutcome::None;
 }
 
 void noteTrial(Serving& _serving, const AttemptNotes& _notes, AttemptEnd _end)
@@ -91,7 +91,7 @@
 	default:
 		return; // Crashes, cuts and full upstreams say nothing of a version.
 	}
-	const TrialAnswer answer{upstream.version,          _serving.route->name, lifeName(upstream), sign,
+	const TrialAnswer answer{upstream.version,          _serving.route->name, incarnationName(upstream), sign,
 							 timesOf(_serving, _notes), _notes.begin};
 	if (noteTrialAnswer(router.trials, _serving.service, answer, monotonicNow()))
 	{
@@ -146,7 +146,7 @@
 		 {"end", _end},
 		 {"upstream", _notes.record.id},
 		 {"hall", _notes.record.hall},
-		 {"born", std::to_string(_notes.record.born)},
+		 {"born", std::to_string(_notes.record.startedAtMs)},
 		 {"cold", _notes.asCold ? "1" : "0"},
 		 {"version", _notes.record.version},
 		 {"route", _serving.route->name},
@@ -196,7 +196,7 @@
 	DirectRouter& router = _serving.router;
 	const TimeUs now = monotonicNow();
 	noteTrialUnsent(router.trials, _serving.service, _notes.trial);
-	noteEnded(router.upstreams, _notes.upstream, _notes.prefillMs, HealthSign::None, now);
+	recordEnded(router.upstreams, _notes.upstream, _notes.prefillMs, HealthOutcome::None, now);
 	++router.stats.attempts[kWithdrawn];
 	logAttempt(_serving, _notes, kWithdrawn, now);
 }
@@ -206,7 +206,7 @@
 	DirectRouter& router = _serving.router;
 	const TimeUs now = monotonicNow();
 	const HealthChange change =
-		noteEnded(router.upstreams, _notes.upstream, _notes.prefillMs, signOf(_end), now);
+		recordEnded(router.upstreams, _notes.upstream, _notes.prefillMs, signOf(_end), now);
 	logHealthChange(_serving, _notes.record, change, _end);
 	noteExposure(_serving, _notes, _end);
 	noteTrial(_serving, _notes, _end);
--- a/src/direct/peer_links.cpp
+++ b/src/direct/peer_links.cpp
@@ -34,10 +34,10 @@
 	PeerLinks& peers = _router.peers;
 	const TimeUs now = monotonicNow();
 	NeighbourLoad& child = peers.loads.children[_link.idx];
-	takeLoads(peers.loads, child, _ping.loads, now);
-	takeOwnLoad(peers.loads, _router.upstreams);
+	applyLoads(peers.loads, child, _ping.loads, now);
+	updateOwnLoad(peers.loads, _router.upstreams);
 	collectOwnHomes(peers.homes, _router.upstreams);
-	takeHomes(peers.homes, _router.upstreams, _link.idx, _ping.homes, now);
+	applyHomes(peers.homes, _router.upstreams, _link.idx, _ping.homes, now);
 	takePeerHalts(_router, _ping.halts);
 	takePeerTrials(_router, _ping.trials, _link.idx);
 	takePeerSuspects(_router, _ping.suspects);
@@ -46,10 +46,10 @@
 	pong.seq = _ping.seq;
 	pong.halts = unwrittenHalts(_router.trials);
 	pong.trials = trialNews(_router, _link, _ping.seq);
-	pong.suspects = suspectNewsFor(_router.suspects, peers.toldSuspects[_link.idx], now);
+	pong.suspects = suspectUpdatesFor(_router.suspects, peers.toldSuspects[_link.idx], now);
 	pong.revision = _router.view.listed ? _router.view.revision : 0;
 	pong.proofAge = now - _router.config.provedAt;
-	pong.loads = changesFor(peers.loads, child);
+	pong.loads = loadChangesFor(peers.loads, child);
 	pong.homes = homesForChild(peers.homes, _link.idx);
 	pong.stopping = _router.stopping;
 	pong.wall = wallTime(_router.wall, wallNow(), now);
@@ -99,7 +99,7 @@
 	const auto child = peers.loads.children.find(_link.idx);
 	if (child != peers.loads.children.end())
 	{
-		dropLoads(peers.loads, child->second);
+		removeLoads(peers.loads, child->second);
 		peers.loads.children.erase(child);
 	}
 	peers.homes.children.erase(_link.idx);
@@ -180,7 +180,7 @@
 		{
 			reviewParent(_router, monotonicNow());
 		}
-		applyOthersLoad(_router.peers.loads, _router.upstreams, monotonicNow());
+		applyPeerLoads(_router.peers.loads, _router.upstreams, monotonicNow());
 		pingParent(_router);
 		sleepFor(kPingMs);
 	}
--- a/src/direct/peer_parent.cpp
+++ b/src/direct/peer_parent.cpp
@@ -37,7 +37,7 @@
 	_peers.parentLink = {};
 	_peers.askedFrom = 0;
 	_peers.toldUsage = {};
-	dropLoads(_peers.loads, _peers.loads.parent);
+	removeLoads(_peers.loads, _peers.loads.parent);
 	_peers.homes.parent = {}; // What waited for it would be news no more to the next one.
 }
 
@@ -112,8 +112,8 @@
 void takeSharesOfParent(DirectRouter& _router, const PeerPong& _pong, TimeUs _now)
 {
 	PeerLinks& peers = _router.peers;
-	takeHomes(peers.homes, _router.upstreams, kParentOfTree, _pong.homes, _now);
-	takeLoads(peers.loads, peers.loads.parent, _pong.loads, _now);
+	applyHomes(peers.homes, _router.upstreams, kParentNeighbour, _pong.homes, _now);
+	applyLoads(peers.loads, peers.loads.parent, _pong.loads, _now);
 }
 
 /// @returns Whether the parent's answer is one that this router can use.
@@ -189,13 +189,13 @@
 	}
 	PeerPing ping;
 	ping.seq = ++peers.pingSeq;
-	ping.loads = changesFor(peers.loads, peers.loads.parent);
+	ping.loads = loadChangesFor(peers.loads, peers.loads.parent);
 	collectOwnHomes(peers.homes, _router.upstreams);
 	ping.homes = homesForParent(peers.homes);
 	ping.halts = unwrittenHalts(_router.trials);
 	ping.trials = trialNews(_router, link, ping.seq);
 	peers.pingSentAt = monotonicNow();
-	ping.suspects = suspectNewsFor(_router.suspects, peers.toldSuspects[link.idx], peers.pingSentAt);
+	ping.suspects = suspectUpdatesFor(_router.suspects, peers.toldSuspects[link.idx], peers.pingSentAt);
 	ping.usage = usageNewsFor(_router.usage, peers.toldUsage, peers.pingSentAt);
 	peers.hub->send(link, MessageType::PeerPing, ping);
 }
--- a/src/direct/read_answer.cpp
+++ b/src/direct/read_answer.cpp
@@ -243,7 +243,8 @@
 	if (!answer.notRun)
 	{
 		countBegun(_serving);
-		noteHead(_serving.router.upstreams, notes.upstream, notes.query, notes.prefillMs, notes.headAfter);
+		recordFirstToken(_serving.router.upstreams, notes.upstream, notes.query, notes.prefillMs,
+						 notes.headAfter);
 		notes.prefillMs = 0.0;
 	}
 	if (_serving.plan.stream && code == status::kOk && !answer.notRun)
--- a/src/direct/run_attempt.cpp
+++ b/src/direct/run_attempt.cpp
@@ -84,13 +84,13 @@
 	_serving.resumed = _serving.resumed || _serving.lastEventId >= 0;
 	notes.tableAge = notes.begin - router.config.provedAt;
 	notes.tableRevision = router.view.revision;
-	notes.expectedMs = expectedHeadMs(router.upstreams, _query, _upstream, notes.begin);
-	const HeadTimes head{notes.expectedMs, longestHeadMs(router.upstreams, _query, _upstream)};
+	notes.expectedMs = expectedFirstTokenMs(router.upstreams, _query, _upstream, notes.begin);
+	const HeadTimes head{notes.expectedMs, uncachedFirstTokenMs(router.upstreams, _query, _upstream)};
 	const AttemptTimes times = attemptTimes(_serving.plan, mayBeFollowed(_serving.plan), head, notes.begin);
 	const HttpExchange::Fields fields = attemptHead(_serving, upstream, notes.begin);
 	const AttemptRequest request = requestFor(_serving, _upstream, upstream.address, fields);
 	notes.asCold = isCold(router.upstreams, _upstream, notes.begin);
-	notes.prefillMs = noteSent(router.upstreams, _upstream, _query, notes.begin);
+	notes.prefillMs = recordSent(router.upstreams, _upstream, _query, notes.begin);
 	notes.trial = noteTrialChosen(router.trials, _serving.service, upstream.version);
 	AttemptResult result;
 	AttemptEnd end = AttemptEnd::NotSent;
--- a/src/direct/serve_direct.cpp
+++ b/src/direct/serve_direct.cpp
@@ -45,7 +45,7 @@
 bool awaitCold(Serving& _serving, const UpstreamQuery& _query)
 {
 	const TimeUs now = monotonicNow();
-	const std::optional<TimeUs> from = nextColdTake(_serving.router.upstreams, _query, now);
+	const std::optional<TimeUs> from = nextColdSendAt(_serving.router.upstreams, _query, now);
 	if (!from || !mayAwaitCold(_serving.plan, *from, now))
 	{
 		return false;
@@ -143,7 +143,7 @@
 	{
 		return NextMove::Again;
 	}
-	_serving.noUpstream = whyNone(table, query, monotonicNow());
+	_serving.noUpstream = noUpstreamReason(table, query, monotonicNow());
 	return whenNoneIsLeft(_serving.plan, monotonicNow(), liveUpstreams(_serving));
 }
 } // namespace
--- a/src/direct/store_evacuations.cpp
+++ b/src/direct/store_evacuations.cpp
@@ -28,7 +28,7 @@
 	}
 	if (_item.deleted && reopenHall(orders, hall, _item.revision))
 	{
-		noteHallOpened(_router.upstreams, hall, monotonicNow());
+		recordHallReopened(_router.upstreams, hall, monotonicNow());
 		logHall("hall_reopened", hall, _item.revision);
 	}
 }
@@ -51,7 +51,7 @@
 	}
 	for (const std::string& hall : reopenOtherHalls(_router.upstreams.halls, evacuated, _list.revision))
 	{
-		noteHallOpened(_router.upstreams, hall, monotonicNow());
+		recordHallReopened(_router.upstreams, hall, monotonicNow());
 		logHall("hall_reopened", hall, _list.revision);
 	}
 }
--- a/src/direct/store_suspects.cpp
+++ b/src/direct/store_suspects.cpp
@@ -20,19 +20,19 @@
 constexpr TimeUs kOthersWrite = 1500 * kMsToUs; ///< How long a router that only heard of it leaves the write.
 constexpr TimeUs kWriteAgain = 1000 * kMsToUs;  ///< After a write that failed.
 
-std::string encodeSuspect(const SuspectNews& _news)
+std::string encodeSuspect(const SuspectUpdate& _news)
 {
 	return json{{"at", wallNowMs()}, {"suspect", _news}}.dump();
 }
 
 /// @throws json::exception
-SuspectNews decodeSuspect(const std::string& _value)
+SuspectUpdate decodeSuspect(const std::string& _value)
 {
 	const json value = json::parse(_value);
-	auto news = value.at("suspect").get<SuspectNews>();
+	auto news = value.at("suspect").get<SuspectUpdate>();
 	const TimeUs age = std::max<TimeUs>(0, wallNowMs() - value.at("at").get<int64_t>()) * kMsToUs;
 	news.suspect.refusedAt += age;
-	for (SeenCrash& crash : news.suspect.seen)
+	for (ObservedCrash& crash : news.suspect.crashes)
 	{
 		crash.at += age;
 	}
@@ -43,14 +43,14 @@
 bool isWanted(const CrashSuspect& _suspect, const StoredSuspect& _stored)
 {
 	const bool told = _stored.revision != 0;
-	const bool cleared = told && _suspect.episode > _stored.episode;
+	const bool cleared = told && _suspect.epoch > _stored.episode;
 	return cleared || (_suspect.refusals > 0 && (!told || _suspect.refusals > _stored.refusals));
 }
 
 /// @throws Failure(StoreUnavailable)
 void writeSuspect(DirectRouter& _router, const RequestDigest& _digest)
 {
-	const SuspectNews news = newsOf(_router.suspects, _digest, monotonicNow());
+	const SuspectUpdate news = suspectUpdateOf(_router.suspects, _digest, monotonicNow());
 	const std::string key = std::string(kSuspectPrefix) + hexOf(_digest);
 	const uint64_t lease = leaseStore(_router.store, 0, kSuspectLeaseMs);
 	const uint64_t expected = _router.storedSuspects[_digest].revision;
@@ -59,7 +59,7 @@
 	logEvent("suspect_written", {{"digest", hexOf(_digest)}, {"result", name(result)}});
 	if (result == CasResult::Done)
 	{
-		_router.storedSuspects[_digest] = {revision, news.suspect.episode, news.suspect.refusals, 0};
+		_router.storedSuspects[_digest] = {revision, news.suspect.epoch, news.suspect.refusals, 0};
 		return;
 	}
 	const StoreItem item = readStore(_router.store, key);
@@ -83,7 +83,7 @@
 		}
 		if (stored.writeAfter == 0)
 		{
-			stored.writeAfter = now + (suspect.heard ? kOthersWrite : 0);
+			stored.writeAfter = now + (suspect.refusedByPeer ? kOthersWrite : 0);
 		}
 		if (now >= stored.writeAfter)
 		{
@@ -131,9 +131,8 @@
 	}
 	try
 	{
-		const SuspectNews news = decodeSuspect(_item.value);
-		_router.storedSuspects[news.digest] = {_item.revision, news.suspect.episode, news.suspect.refusals,
-											   0};
+		const SuspectUpdate news = decodeSuspect(_item.value);
+		_router.storedSuspects[news.digest] = {_item.revision, news.suspect.epoch, news.suspect.refusals, 0};
 		takePeerSuspects(_router, {news});
 	}
 	catch (const std::exception& failure)
--- a/src/direct/store_upstreams.cpp
+++ b/src/direct/store_upstreams.cpp
@@ -31,8 +31,8 @@
 			  {"address", _record.address},
 			  {"hall", _record.hall},
 			  {"version", _record.version},
-			  {"born", std::to_string(_record.born)},
-			  {"leaving", _record.leaving ? "yes" : "no"},
+			  {"born", std::to_string(_record.startedAtMs)},
+			  {"leaving", _record.draining ? "yes" : "no"},
 			  {"cold_ms", std::to_string(_record.coldMs)},
 			  {"way", name(_source.way)},
 			  {"revision", std::to_string(_source.revision)},
@@ -43,7 +43,7 @@
 {
 	logEvent("upstream_unregistered",
 			 {{"upstream", _entry.record.id},
-			  {"leaving", _entry.record.leaving ? "yes" : "no"},
+			  {"leaving", _entry.record.draining ? "yes" : "no"},
 			  {"way", name(_source.way)},
 			  {"revision", std::to_string(_source.revision)},
 			  {"proof_age_ms", std::to_string((monotonicNow() - _router.config.provedAt) / kMsToUs)},
@@ -81,7 +81,7 @@
 /// @returns The entry of an upstream that is registered; null: none is.
 const UpstreamEntry* registeredEntry(const UpstreamTable& _table, const std::string& _id)
 {
-	const UpstreamId known = currentLife(_table, _id);
+	const UpstreamId known = currentIncarnation(_table, _id);
 	const UpstreamEntry* entry = isValid(known) ? &_table.entries.at(known.idx) : nullptr;
 	return entry != nullptr && entry->registered ? entry : nullptr;
 }
@@ -100,8 +100,8 @@
 				  const ChangeSource& _source)
 {
 	logEvent("upstream_restarted", {{"upstream", _record.id},
-									{"born", std::to_string(_record.born)},
-									{"born_before", std::to_string(_before.born)},
+									{"born", std::to_string(_record.startedAtMs)},
+									{"born_before", std::to_string(_before.startedAtMs)},
 									{"calls_ended", std::to_string(_calls)},
 									{"way", name(_source.way)},
 									{"revision", std::to_string(_source.revision)}});
@@ -111,19 +111,19 @@
 void takeRecord(DirectRouter& _router, const UpstreamRecord& _record, const ChangeSource& _source)
 {
 	UpstreamTable& table = _router.upstreams;
-	const LifeOrder order = lifeOrder(table, _record);
-	const UpstreamId before = currentLife(table, _record.id);
+	const IncarnationOrder order = incarnationOrder(table, _record);
+	const UpstreamId before = currentIncarnation(table, _record.id);
 	registerUpstream(table, _record, monotonicNow());
-	if (order == LifeOrder::Newer)
+	if (order == IncarnationOrder::Newer)
 	{
 		const size_t calls = endCalls(_router.pool, before);
 		suspectBroken(_router, before);
 		logRestarted(table.entries.at(before.idx).record, _record, calls, _source);
 	}
-	else if (order == LifeOrder::Older)
+	else if (order == IncarnationOrder::Older)
 	{
 		logEvent("upstream_record_old", {{"upstream", _record.id},
-										 {"born", std::to_string(_record.born)},
+										 {"born", std::to_string(_record.startedAtMs)},
 										 {"way", name(_source.way)},
 										 {"revision", std::to_string(_source.revision)}});
 	}
@@ -133,14 +133,14 @@
 bool isNewsOfLeaving(const UpstreamTable& _table, const UpstreamRecord& _record)
 {
 	const UpstreamEntry* entry = registeredEntry(_table, _record.id);
-	return _record.leaving && entry != nullptr && !entry->record.leaving;
+	return _record.draining && entry != nullptr && !entry->record.draining;
 }
 /// @returns Whether an upstream had gone for certain before the store came back from an older copy, in which
 /// it stands.
 bool isGone(const UpstreamTable& _table, const UpstreamRecord& _record)
 {
-	const UpstreamId known = currentLife(_table, _record.id);
-	if (!isValid(known) || lifeOrder(_table, _record) != LifeOrder::Same)
+	const UpstreamId known = currentIncarnation(_table, _record.id);
+	if (!isValid(known) || incarnationOrder(_table, _record) != IncarnationOrder::Same)
 	{
 		return false;
 	}
@@ -189,7 +189,7 @@
 		if (_returned && isGone(_router.upstreams, records.back()))
 		{
 			logEvent("upstream_record_old", {{"upstream", records.back().id},
-											 {"born", std::to_string(records.back().born)},
+											 {"born", std::to_string(records.back().startedAtMs)},
 											 {"way", name(_way)},
 											 {"revision", std::to_string(records.back().revision)}});
 			records.pop_back(); // One that lives is written again, as a change.
--- a/src/direct/suspects.cpp
+++ b/src/direct/suspects.cpp
@@ -51,10 +51,10 @@
 std::string describeSeen(const CrashSuspect& _suspect, TimeUs _now)
 {
 	std::string text;
-	for (const SeenCrash& crash : _suspect.seen)
+	for (const ObservedCrash& crash : _suspect.crashes)
 	{
 		text += fmt::format("{}{:08x} {} ms ago after {} ms", text.empty() ? "" : ", ", crash.upstream,
-							(_now - crash.at) / kMsToUs, crash.atWork / kMsToUs);
+							(_now - crash.at) / kMsToUs, crash.runningFor / kMsToUs);
 	}
 	return text;
 }
@@ -93,7 +93,7 @@
 bool isOpen(const DirectRouter& _router, const RequestDigest& _digest)
 {
 	const auto found = _router.suspects.suspects.find(_digest);
-	return found != _router.suspects.suspects.end() && !found->second.seen.empty();
+	return found != _router.suspects.suspects.end() && !found->second.crashes.empty();
 }
 
 void clear(DirectRouter& _router, const RequestDigest& _digest, const char* _why)
@@ -110,13 +110,14 @@
 {
 	DirectRouter& router = _serving.router;
 	const TimeUs now = monotonicNow();
-	const SeenCrash crash{keyOf(_notes.record.id, _notes.record.born), now, now - _notes.begin,
-						  upstreamsInUse(router, _serving.service),
-						  copiesElsewhere(_serving, _notes.upstream.idx)};
+	const ObservedCrash crash{keyOf(_notes.record.id, _notes.record.startedAtMs), now, now - _notes.begin,
+							  upstreamsInUse(router, _serving.service),
+							  copiesElsewhere(_serving, _notes.upstream.idx)};
 	_serving.suspected = true;
-	noteRefused(router, noteCrash(router.suspects, digestOf(_serving), labelOf(_serving), crash, now),
+	noteRefused(router, recordCrash(router.suspects, digestOf(_serving), labelOf(_serving), crash, now),
 				"seen");
-	_serving.endsUpstreams = standingOf(router.suspects, digestOf(_serving), now) == SuspectStanding::Refused;
+	_serving.endsUpstreams =
+		suspectStateOf(router.suspects, digestOf(_serving), now) == SuspectState::Refused;
 }
 
 void suspectLater(Serving& _serving, const AttemptNotes& _notes)
@@ -142,14 +143,14 @@
 	const TimeUs now = monotonicNow();
 	for (const RecentBreak& broken : std::exchange(found->second, {}))
 	{
-		const SeenCrash crash{keyOf(record.id, record.born), broken.at, broken.atWork,
-							  upstreamsInUse(_router, record.service), 0};
+		const ObservedCrash crash{keyOf(record.id, record.startedAtMs), broken.at, broken.atWork,
+								  upstreamsInUse(_router, record.service), 0};
 		logEvent("upstream_ended", {{"upstream", record.id},
 									{"service", record.service},
 									{"digest", hexOf(broken.digest)},
 									{"why", "started_again"},
 									{"took_ms", millisText(broken.atWork)}});
-		noteRefused(_router, noteCrash(_router.suspects, broken.digest, broken.label, crash, now), "seen");
+		noteRefused(_router, recordCrash(_router.suspects, broken.digest, broken.label, crash, now), "seen");
 	}
 }
 
@@ -174,7 +175,7 @@
 		return;
 	}
 	clear(router, digestOf(_serving), "answered");
-	noteAnswered(router.suspects, digestOf(_serving), monotonicNow());
+	recordAnswered(router.suspects, digestOf(_serving), monotonicNow());
 }
 
 std::set<uint32_t> upstreamsOfSuspects(const Serving& _serving)
@@ -200,16 +201,16 @@
 	{
 		return true;
 	}
-	switch (standingOf(router.suspects, digestOf(_serving), monotonicNow()))
+	switch (suspectStateOf(router.suspects, digestOf(_serving), monotonicNow()))
 	{
-	case SuspectStanding::Unknown:
+	case SuspectState::Unknown:
 		return true;
-	case SuspectStanding::Suspected:
+	case SuspectState::Suspected:
 		_serving.suspected = true;
 		return true;
-	case SuspectStanding::Due:
+	case SuspectState::ProbeDue:
 		// At the router that follows no other: of a fleet that is whole just one runs it.
-		_serving.trying = router.peers.parent.empty() && beginTry(router.suspects, digestOf(_serving));
+		_serving.trying = router.peers.parent.empty() && beginProbe(router.suspects, digestOf(_serving));
 		_serving.suspected = true;
 		if (_serving.trying)
 		{
@@ -217,7 +218,7 @@
 			return true;
 		}
 		break;
-	case SuspectStanding::Refused:
+	case SuspectState::Refused:
 		break;
 	}
 	refuseSuspect(_serving);
@@ -239,9 +240,9 @@
 		   uint32_t(std::max<TimeUs>(kMsToUs, left / kMsToUs)));
 }
 
-void takePeerSuspects(DirectRouter& _router, const std::vector<SuspectNews>& _news)
+void takePeerSuspects(DirectRouter& _router, const std::vector<SuspectUpdate>& _news)
 {
-	noteRefused(_router, takeSuspectNews(_router.suspects, _news, monotonicNow()), "heard");
+	noteRefused(_router, applySuspectUpdates(_router.suspects, _news, monotonicNow()), "heard");
 }
 
 namespace
@@ -261,7 +262,7 @@
 	const TimeUs now = monotonicNow();
 	for (const auto& [digest, suspect] : _router.suspects.suspects)
 	{
-		if (!suspect.seen.empty())
+		if (!suspect.crashes.empty())
 		{
 			list.push_back(describe(digest, suspect, now));
 		}
--- a/src/direct/suspects_p.h
+++ b/src/direct/suspects_p.h
@@ -26,7 +26,7 @@
 	{
 		if (m_serving.trying)
 		{
-			endTry(m_serving.router.suspects, *m_serving.digest);
+			endProbe(m_serving.router.suspects, *m_serving.digest);
 		}
 	}
 
@@ -57,7 +57,7 @@
 std::set<uint32_t> upstreamsOfSuspects(const Serving& _serving);
 
 /// Takes what another router told.
-void takePeerSuspects(DirectRouter& _router, const std::vector<SuspectNews>& _news);
+void takePeerSuspects(DirectRouter& _router, const std::vector<SuspectUpdate>& _news);
 
 /// Of the metrics address: `GET /suspects` lists them, `DELETE /suspects/DIGEST` clears one at all routers.
 constexpr std::string_view kSuspectsPath = "/suspects";
--- a/src/direct/upstream_end.cpp
+++ b/src/direct/upstream_end.cpp
@@ -41,7 +41,7 @@
 bool wasToEnd(const DirectRouter& _router, const AttemptNotes& _notes)
 {
 	const auto entry = _router.upstreams.entries.find(_notes.upstream.idx);
-	if (entry == _router.upstreams.entries.end() || entry->second.record.leaving)
+	if (entry == _router.upstreams.entries.end() || entry->second.record.draining)
 	{
 		return true;
 	}
--- a/tests/core/agent_suspects_test.cpp
+++ b/tests/core/agent_suspects_test.cpp
@@ -78,7 +78,7 @@
 	/// The agent's news go to the router, and from there to all.
 	void spread(size_t _agent, TimeUs _now)
 	{
-		Suspects news{suspectNewsFor(agents[_agent].suspects, told[_agent], _now)};
+		Suspects news{suspectUpdatesFor(agents[_agent].suspects, told[_agent], _now)};
 		onSuspects(router, news, _now, actions);
 		for (AgentCore& agent : agents)
 		{
--- a/tests/core/cold_upstreams_test.cpp
+++ b/tests/core/cold_upstreams_test.cpp
@@ -29,7 +29,7 @@
 {
 	Fleet fleet;
 	fleet.self = member(_self);
-	fleet.settled = true;
+	fleet.synced = true;
 	for (size_t ii = 0; ii < _routers; ++ii)
 	{
 		if (ii != _self && ii != _missing)
@@ -52,7 +52,7 @@
 		{
 			const Fleet fleet = fleetOf(ii, _routers, _unheard);
 			ColdState state;
-			noteCold(state, ColdCause::Told, 60 * kSecond);
+			markCold(state, ColdCause::Reported, 60 * kSecond);
 			const TimeUs spacing = coldSpacing(kService, kBounds, fleet, _upstream, "hall-1", _sharing);
 			setColdSpacing(state, spacing, nextUnit(_random), 0);
 			routers.push_back(state);
@@ -72,9 +72,9 @@
 					continue;
 				}
 				looks[ii] = now + TimeUs(nextUnit(_random) * double(_jitter));
-				if (mayTake(routers[ii], now))
+				if (mayAcceptRequest(routers[ii], now))
 				{
-					noteTaken(routers[ii], now);
+					recordColdRequest(routers[ii], now);
 					sent.push_back(now);
 				}
 			}
@@ -126,7 +126,7 @@
 TEST(ColdUpstream, WithEqualPartsGetsTheSameOnAverage)
 {
 	Random random{3};
-	Rush rush(23, ColdSharing::EqualParts, 23, 7, random);
+	Rush rush(23, ColdSharing::EqualShares, 23, 7, random);
 	rush.run(10 * kSecond, kMsToUs, random);
 	EXPECT_NEAR(double(rush.sent.size()) / 10.0, kService.perSecond, 2.0);
 }
@@ -134,7 +134,7 @@
 TEST(ColdUpstream, GetsNothingFromARouterThatTheOthersDoNotKnowYet)
 {
 	Fleet fleet = fleetOf(0, 1, 1);
-	fleet.settled = false;
+	fleet.synced = false;
 	EXPECT_EQ(coldSpacing(kService, kBounds, fleet, 7, "hall-0", ColdSharing::Owners), 0);
 }
 
@@ -186,8 +186,8 @@
 			const UpstreamId chosen = pick(now);
 			if (isValid(chosen))
 			{
-				noteSent(table, chosen, {}, now);
-				noteEnded(table, chosen, 0.0, HealthSign::Good, now);
+				recordSent(table, chosen, {}, now);
+				recordEnded(table, chosen, 0.0, HealthOutcome::Good, now);
 				++sent;
 			}
 		}
@@ -208,7 +208,7 @@
 TEST_F(ColdTable, AHallThatIsOpenAgainMayHaveTurnedCold)
 {
 	registerUpstream(table, record("one", "a", 0, 5), 0);
-	noteHallOpened(table, "a", 10 * kSecond);
+	recordHallReopened(table, "a", 10 * kSecond);
 	share(10 * kSecond);
 	EXPECT_LE(sendAll(10 * kSecond, 11 * kSecond), 11u);
 	EXPECT_EQ(sendAll(13 * kSecond, 13 * kSecond + 50 * kMsToUs), 50u);
@@ -217,8 +217,8 @@
 TEST_F(ColdTable, AnUpstreamThatTookNoConnectionMayHaveStartedAgain)
 {
 	const UpstreamId one = registerUpstream(table, record("one", "a", 0, 5), 0);
-	noteSent(table, one, {}, kSecond);
-	noteEnded(table, one, 0.0, HealthSign::Unreachable, kSecond);
+	recordSent(table, one, {}, kSecond);
+	recordEnded(table, one, 0.0, HealthOutcome::Unreachable, kSecond);
 	share(kSecond);
 	EXPECT_LE(sendAll(2 * kSecond, 3 * kSecond), 11u);
 }
@@ -237,14 +237,14 @@
 	registerUpstream(table, record("one", "a", 3000, 5), 0);
 	UpstreamQuery query;
 	query.service = "llm";
-	EXPECT_EQ(whyNone(table, query, 0), NoUpstream::Cold);
+	EXPECT_EQ(noUpstreamReason(table, query, 0), NoUpstream::Cold);
 	RequestPlan plan;
 	plan.targetMs = 2000;
 	plan.deadline = 8 * kSecond;
-	EXPECT_FALSE(mayAwaitCold(plan, *nextColdTake(table, query, 0), 0)) << "this router has no part";
+	EXPECT_FALSE(mayAwaitCold(plan, *nextColdSendAt(table, query, 0), 0)) << "this router has no part";
 	share(0);
-	noteTaken(table.entries.begin()->second.cold, 0);
-	EXPECT_TRUE(mayAwaitCold(plan, *nextColdTake(table, query, 0), 0));
+	recordColdRequest(table.entries.begin()->second.cold, 0);
+	EXPECT_TRUE(mayAwaitCold(plan, *nextColdSendAt(table, query, 0), 0));
 	EXPECT_EQ(finalAnswer(plan, AttemptEnd::NotSent, NoUpstream::Cold, 0.0, 0).status, status::kUnavailable);
 }
 
@@ -252,7 +252,7 @@
 {
 	table.coldServices.clear();
 	registerUpstream(table, record("one", "a", 3000, 5), 0);
-	noteHallOpened(table, "a", 0);
+	recordHallReopened(table, "a", 0);
 	EXPECT_TRUE(isValid(pick(0)));
 }
 } // namespace
--- a/tests/core/crash_property_test.cpp
+++ b/tests/core/crash_property_test.cpp
@@ -67,7 +67,7 @@
 {
 	Scene scene;
 	Random random;
-	std::vector<SuspectBook> books;
+	std::vector<SuspectTable> books;
 	std::vector<uint64_t> toRoot;
 	std::vector<uint64_t> fromRoot;
 	std::vector<Run> runs;
@@ -109,7 +109,7 @@
 /// @returns Whether a router refuses a request.
 bool isRefused(Fleet& _fleet, uint32_t _router, const RequestDigest& _digest)
 {
-	const bool refused = standingOf(_fleet.books[_router], _digest, _fleet.now) == SuspectStanding::Refused;
+	const bool refused = suspectStateOf(_fleet.books[_router], _digest, _fleet.now) == SuspectState::Refused;
 	if (refused && _digest.high != kEnding)
 	{
 		_fleet.met[_digest] = true;
@@ -163,9 +163,9 @@
 		{
 			_fleet.met.emplace(run.digest, false);
 		}
-		SuspectBook& book = _fleet.books[run.router];
-		const SeenCrash seen{key, _fleet.now, _fleet.now - run.since, _fleet.scene.upstreams, copies[ii]};
-		noteCrash(book, run.digest, "", seen, _fleet.now);
+		SuspectTable& book = _fleet.books[run.router];
+		const ObservedCrash seen{key, _fleet.now, _fleet.now - run.since, _fleet.scene.upstreams, copies[ii]};
+		recordCrash(book, run.digest, "", seen, _fleet.now);
 		if (run.attempt++ < kAttempts && !isRefused(_fleet, run.router, run.digest))
 		{
 			begin(_fleet, run);
@@ -199,7 +199,7 @@
 		}
 		else
 		{
-			noteAnswered(_fleet.books[run.router], run.digest, _fleet.now);
+			recordAnswered(_fleet.books[run.router], run.digest, _fleet.now);
 		}
 	}
 	for (const uint32_t upstream : ended)
@@ -213,10 +213,10 @@
 {
 	for (uint32_t ii = 1; ii < _fleet.scene.routers; ++ii)
 	{
-		const auto up = suspectNewsFor(_fleet.books[ii], _fleet.toRoot[ii], _fleet.now);
-		takeSuspectNews(_fleet.books[0], up, _fleet.now);
-		const auto down = suspectNewsFor(_fleet.books[0], _fleet.fromRoot[ii], _fleet.now);
-		takeSuspectNews(_fleet.books[ii], down, _fleet.now);
+		const auto up = suspectUpdatesFor(_fleet.books[ii], _fleet.toRoot[ii], _fleet.now);
+		applySuspectUpdates(_fleet.books[0], up, _fleet.now);
+		const auto down = suspectUpdatesFor(_fleet.books[0], _fleet.fromRoot[ii], _fleet.now);
+		applySuspectUpdates(_fleet.books[ii], down, _fleet.now);
 	}
 }
 
--- a/tests/core/crash_suspects_test.cpp
+++ b/tests/core/crash_suspects_test.cpp
@@ -14,21 +14,21 @@
 const RequestDigest kOne{1, 1};
 const RequestDigest kOther{2, 2};
 
-SeenCrash crashAt(TimeUs _at, UpstreamKey _upstream, TimeUs _atWork = 50 * kMsToUs, uint32_t _copies = 0)
+ObservedCrash crashAt(TimeUs _at, UpstreamKey _upstream, TimeUs _atWork = 50 * kMsToUs, uint32_t _copies = 0)
 {
 	return {_upstream, _at, _atWork, kUpstreams, _copies};
 }
 
 /// @returns Whether it is refused after that many crashes, a second apart.
-bool refusedAfter(SuspectBook& _book, const RequestDigest& _digest, uint32_t _crashes, TimeUs _from = kStart,
+bool refusedAfter(SuspectTable& _book, const RequestDigest& _digest, uint32_t _crashes, TimeUs _from = kStart,
 				  UpstreamKey _first = 1)
 {
 	for (uint32_t ii = 0; ii < _crashes; ++ii)
 	{
 		const TimeUs at = _from + ii * kSecond;
-		noteCrash(_book, _digest, "town GET /x", crashAt(at, _first + ii), at);
+		recordCrash(_book, _digest, "town GET /x", crashAt(at, _first + ii), at);
 	}
-	return standingOf(_book, _digest, _from + _crashes * kSecond) == SuspectStanding::Refused;
+	return suspectStateOf(_book, _digest, _from + _crashes * kSecond) == SuspectState::Refused;
 }
 
 TEST(RequestDigest, IsThatOfWhatCallersRepeatAndOfNothingElse)
@@ -51,28 +51,28 @@
 
 TEST(CrashSuspects, OneIsRefusedAtItsThirdCrashAndNotBefore)
 {
-	SuspectBook book;
+	SuspectTable book;
 	EXPECT_FALSE(refusedAfter(book, kOne, 2));
-	EXPECT_EQ(standingOf(book, kOne, kStart), SuspectStanding::Suspected);
-	SuspectBook another;
+	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
+	SuspectTable another;
 	EXPECT_TRUE(refusedAfter(another, kOne, 3));
-	EXPECT_EQ(standingOf(another, kOther, kStart), SuspectStanding::Unknown);
+	EXPECT_EQ(suspectStateOf(another, kOther, kStart), SuspectState::Unknown);
 }
 
 TEST(CrashSuspects, ThreeCrashesInOneTryAreEnough)
 {
-	SuspectBook book;
+	SuspectTable book;
 	for (uint32_t ii = 0; ii < 3; ++ii)
 	{
 		const TimeUs at = kStart + TimeUs(ii) * 40 * kMsToUs;
-		noteCrash(book, kOne, "", crashAt(at, ii + 1, 30 * kMsToUs), at);
+		recordCrash(book, kOne, "", crashAt(at, ii + 1, 30 * kMsToUs), at);
 	}
-	EXPECT_EQ(standingOf(book, kOne, kStart), SuspectStanding::Refused);
+	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Refused);
 }
 
 TEST(CrashSuspects, AWholeAnswerClears)
 {
-	SuspectBook book;
+	SuspectTable book;
 	refusedAfter(book, kOne, 2);
 	EXPECT_TRUE(clearSuspect(book, kOne, kStart));
 	EXPECT_FALSE(clearSuspect(book, kOne, kStart));
@@ -82,30 +82,30 @@
 
 TEST(CrashSuspects, AHallThatIsLostUnderManyCopiesCountsOnce)
 {
-	SuspectBook book;
+	SuspectTable book;
 	for (uint32_t ii = 0; ii < 8; ++ii)
 	{
 		const TimeUs at = kStart + TimeUs(ii) * 10 * kMsToUs;
-		noteCrash(book, kOne, "", crashAt(at, ii + 1, kSecond), at);
+		recordCrash(book, kOne, "", crashAt(at, ii + 1, kSecond), at);
 	}
-	EXPECT_EQ(standingOf(book, kOne, kStart), SuspectStanding::Suspected);
+	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
 }
 
 TEST(CrashSuspects, OneThatIsAtMostUpstreamsIsAtMostCrashesToo)
 {
-	SuspectBook book;
-	noteAnswered(book, kOne, kStart);
-	for (uint32_t ii = 0; ii < kMostSeen; ++ii)
+	SuspectTable book;
+	recordAnswered(book, kOne, kStart);
+	for (uint32_t ii = 0; ii < kMaxCrashesPerSuspect; ++ii)
 	{
 		const TimeUs at = kStart + ii * kSecond;
-		noteCrash(book, kOne, "", crashAt(at, ii + 1, kSecond, kUpstreams - 1), at);
+		recordCrash(book, kOne, "", crashAt(at, ii + 1, kSecond, kUpstreams - 1), at);
 	}
-	EXPECT_EQ(standingOf(book, kOne, kStart), SuspectStanding::Suspected);
+	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
 }
 
 TEST(CrashSuspects, CrashesUnderARefusedOneAreNotHeldAgainstOthers)
 {
-	SuspectBook book;
+	SuspectTable book;
 	ASSERT_TRUE(refusedAfter(book, kOne, 3));
 	EXPECT_FALSE(refusedAfter(book, kOther, 2)) << "the same upstreams";
 	EXPECT_FALSE(refusedAfter(book, kOther, 1, kStart, 10)) << "two of three are explained";
@@ -113,69 +113,69 @@
 
 TEST(CrashSuspects, ABystanderThatIsRefusedByMistakeDoesNotCoverUpForTheOther)
 {
-	SuspectBook book;
+	SuspectTable book;
 	ASSERT_TRUE(refusedAfter(book, kOther, 3)) << "it was at work at the same three";
 	EXPECT_TRUE(refusedAfter(book, kOne, 3));
 }
 
 TEST(CrashSuspects, OneOfManyRunsWhileUpstreamsEndByThemselvesIsNotRefusedForThree)
 {
-	SuspectBook book;
+	SuspectTable book;
 	for (uint32_t ii = 0; ii < 20; ++ii) // Under other requests, twice a second.
 	{
 		const TimeUs at = kStart + ii * kSecond / 2;
-		noteCrash(book, RequestDigest{100, ii}, "", crashAt(at, 100 + ii), at);
+		recordCrash(book, RequestDigest{100, ii}, "", crashAt(at, 100 + ii), at);
 	}
 	for (uint32_t ii = 0; ii < 3; ++ii)
 	{
 		const TimeUs at = kStart + (3 + ii) * kSecond;
-		noteCrash(book, kOne, "", crashAt(at, ii + 1, 2 * kSecond), at);
+		recordCrash(book, kOne, "", crashAt(at, ii + 1, 2 * kSecond), at);
 	}
-	EXPECT_EQ(standingOf(book, kOne, kStart), SuspectStanding::Suspected);
+	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
 }
 
 TEST(CrashSuspects, ARefusalEndsWithOneRunThatShowsWhatHasChanged)
 {
-	SuspectBook book;
+	SuspectTable book;
 	refusedAfter(book, kOne, 3);
 	const TimeUs due = kStart + 3 * kSecond + kRefusalTime;
-	EXPECT_EQ(standingOf(book, kOne, due), SuspectStanding::Due);
-	EXPECT_TRUE(beginTry(book, kOne));
-	EXPECT_FALSE(beginTry(book, kOne)) << "one at a time";
-	noteCrash(book, kOne, "", crashAt(due, 50), due);
-	EXPECT_EQ(standingOf(book, kOne, due + kRefusalTime + kSecond), SuspectStanding::Refused)
+	EXPECT_EQ(suspectStateOf(book, kOne, due), SuspectState::ProbeDue);
+	EXPECT_TRUE(beginProbe(book, kOne));
+	EXPECT_FALSE(beginProbe(book, kOne)) << "one at a time";
+	recordCrash(book, kOne, "", crashAt(due, 50), due);
+	EXPECT_EQ(suspectStateOf(book, kOne, due + kRefusalTime + kSecond), SuspectState::Refused)
 		<< "twice as long";
-	EXPECT_EQ(standingOf(book, kOne, due + 2 * kRefusalTime + kSecond), SuspectStanding::Due);
-	EXPECT_TRUE(beginTry(book, kOne));
+	EXPECT_EQ(suspectStateOf(book, kOne, due + 2 * kRefusalTime + kSecond), SuspectState::ProbeDue);
+	EXPECT_TRUE(beginProbe(book, kOne));
 	EXPECT_TRUE(clearSuspect(book, kOne, due));
-	EXPECT_EQ(standingOf(book, kOne, due), SuspectStanding::Unknown);
+	EXPECT_EQ(suspectStateOf(book, kOne, due), SuspectState::Unknown);
 }
 
 TEST(CrashSuspects, TheBookIsBoundedAndKeepsRefusedOnesLongest)
 {
-	SuspectBook book;
+	SuspectTable book;
 	refusedAfter(book, kOne, 3);
-	for (uint32_t ii = 0; ii < 2 * kMostSuspects; ++ii)
+	for (uint32_t ii = 0; ii < 2 * kMaxSuspects; ++ii)
 	{
-		noteCrash(book, RequestDigest{100, ii}, std::string(1000, 'x'), crashAt(kStart, 1000 + ii), kStart);
+		recordCrash(book, RequestDigest{100, ii}, std::string(1000, 'x'), crashAt(kStart, 1000 + ii), kStart);
 	}
-	EXPECT_EQ(book.suspects.size(), kMostSuspects);
-	EXPECT_EQ(book.byChange.size(), kMostSuspects);
-	EXPECT_LE(book.crashes.size(), kMostCrashes);
-	EXPECT_EQ(standingOf(book, kOne, kStart), SuspectStanding::Refused);
-	EXPECT_LE(book.suspects.rbegin()->second.label.size(), kMostLabel);
-	forgetOldSuspects(book, kStart + kSuspicionTime + kRefusalTime + 9 * kSecond);
+	EXPECT_EQ(book.suspects.size(), kMaxSuspects);
+	EXPECT_EQ(book.byChange.size(), kMaxSuspects);
+	EXPECT_LE(book.crashes.size(), kMaxCrashes);
+	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Refused);
+	EXPECT_LE(book.suspects.rbegin()->second.label.size(), kMaxLabelBytes);
+	expireSuspects(book, kStart + kSuspicionTime + kRefusalTime + 9 * kSecond);
 	EXPECT_TRUE(book.suspects.empty());
 	EXPECT_TRUE(book.byChange.empty());
 	EXPECT_TRUE(book.explainedBy.empty());
 }
 
 /// Tells `_to` what is new at `_from`, through the wire's form. @returns Bytes.
-size_t tell(const SuspectBook& _from, uint64_t& _told, SuspectBook& _to, TimeUs _now,
+size_t tell(const SuspectTable& _from, uint64_t& _told, SuspectTable& _to, TimeUs _now,
 			std::vector<RequestDigest>* _refused = nullptr)
 {
-	const nlohmann::json wire(suspectNewsFor(_from, _told, _now));
-	const auto refused = takeSuspectNews(_to, wire.get<std::vector<SuspectNews>>(), _now);
+	const nlohmann::json wire(suspectUpdatesFor(_from, _told, _now));
+	const auto refused = applySuspectUpdates(_to, wire.get<std::vector<SuspectUpdate>>(), _now);
 	if (_refused != nullptr)
 	{
 		*_refused = refused;
@@ -183,32 +183,32 @@
 	return nlohmann::json::to_cbor(wire).size();
 }
 
-TEST(SuspectNews, CrashesThatThreeRoutersSawAreOneSuspect)
+TEST(SuspectUpdate, CrashesThatThreeRoutersSawAreOneSuspect)
 {
-	SuspectBook books[3];
+	SuspectTable books[3];
 	uint64_t told[3] = {};
 	for (uint32_t ii = 0; ii < 3; ++ii)
 	{
 		const TimeUs at = kStart + ii * kSecond;
-		noteCrash(books[ii], kOne, "town GET /x", crashAt(at, ii + 1), at);
+		recordCrash(books[ii], kOne, "town GET /x", crashAt(at, ii + 1), at);
 	}
 	const TimeUs now = kStart + 3 * kSecond;
 	std::vector<RequestDigest> refused;
 	tell(books[0], told[0], books[1], now);
 	tell(books[1], told[1], books[2], now, &refused);
 	ASSERT_EQ(refused.size(), 1u);
-	EXPECT_EQ(standingOf(books[2], kOne, now), SuspectStanding::Refused);
+	EXPECT_EQ(suspectStateOf(books[2], kOne, now), SuspectState::Refused);
 	EXPECT_EQ(books[2].suspects.at(kOne).label, "town GET /x");
 	uint64_t back = 0;
 	tell(books[2], back, books[0], now, &refused);
 	EXPECT_EQ(refused.size(), 1u);
-	EXPECT_EQ(standingOf(books[0], kOne, now), SuspectStanding::Refused);
+	EXPECT_EQ(suspectStateOf(books[0], kOne, now), SuspectState::Refused);
 }
 
-TEST(SuspectNews, GoRoundARingOnce)
+TEST(SuspectUpdate, GoRoundARingOnce)
 {
-	SuspectBook left;
-	SuspectBook right;
+	SuspectTable left;
+	SuspectTable right;
 	refusedAfter(left, kOne, 3);
 	uint64_t toRight = 0;
 	uint64_t toLeft = 0;
@@ -224,30 +224,30 @@
 	EXPECT_EQ(left.changes + right.changes, settled);
 }
 
-TEST(SuspectNews, AClearedOneIsClearedEverywhereAndLateNewsOfItAreOld)
+TEST(SuspectUpdate, AClearedOneIsClearedEverywhereAndLateNewsOfItAreOld)
 {
-	SuspectBook left;
-	SuspectBook right;
+	SuspectTable left;
+	SuspectTable right;
 	refusedAfter(left, kOne, 3);
 	uint64_t told = 0;
 	tell(left, told, right, kStart + 5 * kSecond);
-	SuspectBook late = left;
+	SuspectTable late = left;
 	clearSuspect(right, kOne, kStart + 6 * kSecond);
 	uint64_t back = 0;
 	tell(right, back, left, kStart + 7 * kSecond);
-	EXPECT_EQ(standingOf(left, kOne, kStart + 7 * kSecond), SuspectStanding::Unknown);
+	EXPECT_EQ(suspectStateOf(left, kOne, kStart + 7 * kSecond), SuspectState::Unknown);
 	uint64_t fromLate = 0;
 	tell(late, fromLate, right, kStart + 7 * kSecond);
-	EXPECT_EQ(standingOf(right, kOne, kStart + 7 * kSecond), SuspectStanding::Unknown);
+	EXPECT_EQ(suspectStateOf(right, kOne, kStart + 7 * kSecond), SuspectState::Unknown);
 }
 
-TEST(SuspectNews, AMessageIsBoundedAndTheRestFollows)
+TEST(SuspectUpdate, AMessageIsBoundedAndTheRestFollows)
 {
-	SuspectBook left;
-	SuspectBook right;
-	for (uint32_t ii = 0; ii < 3 * kMostSuspectNews; ++ii)
+	SuspectTable left;
+	SuspectTable right;
+	for (uint32_t ii = 0; ii < 3 * kMaxSuspectUpdates; ++ii)
 	{
-		noteCrash(left, RequestDigest{9, ii}, std::string(1000, 'x'), crashAt(kStart, ii), kStart);
+		recordCrash(left, RequestDigest{9, ii}, std::string(1000, 'x'), crashAt(kStart, ii), kStart);
 	}
 	uint64_t told = 0;
 	constexpr size_t kMostBytes = 16u << 10;
@@ -255,7 +255,7 @@
 	{
 		EXPECT_LE(tell(left, told, right, kStart), kMostBytes);
 	}
-	EXPECT_EQ(right.suspects.size(), 3 * kMostSuspectNews);
+	EXPECT_EQ(right.suspects.size(), 3 * kMaxSuspectUpdates);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/hall_evacuation_test.cpp
+++ b/tests/core/hall_evacuation_test.cpp
@@ -69,14 +69,14 @@
 	evacuateHall(table.halls, "a", 5);
 	evacuateHall(table.halls, "b", 6);
 	EXPECT_EQ(pick(query("a")), "");
-	const NoUpstream why = whyNone(table, query("a"), 0);
+	const NoUpstream why = noUpstreamReason(table, query("a"), 0);
 	EXPECT_EQ(why, NoUpstream::Evacuated);
 	const FinalAnswer first = finalAnswer({}, AttemptEnd::NotSent, why, 0.0, 0);
 	const FinalAnswer last = finalAnswer({}, AttemptEnd::NotSent, why, 1.0, 0);
 	EXPECT_EQ(first.status, status::kUnavailable);
 	EXPECT_GT(first.retryAfterMs, 0u);
 	EXPECT_GT(last.retryAfterMs, first.retryAfterMs) << "callers are spread";
-	EXPECT_EQ(whyNone(table, query("a", "none"), 0), NoUpstream::None);
+	EXPECT_EQ(noUpstreamReason(table, query("a", "none"), 0), NoUpstream::None);
 }
 
 TEST_F(Evacuation, AnUpstreamThatLapsedInAnOutageIsNotUsedInAnEvacuatedHall)
--- a/tests/core/home_share_test.cpp
+++ b/tests/core/home_share_test.cpp
@@ -19,7 +19,7 @@
 
 	Router()
 	{
-		table.hearsOthers = true;
+		table.receivesPeerUpdates = true;
 		for (const char* id : {"u-one", "u-two", "u-three"})
 		{
 			registerUpstream(table, {id, "chat", "10.0.0.1:1", "hall", "v1", 8, false});
@@ -46,8 +46,8 @@
 {
 	collectOwnHomes(_child.share, _child.table);
 	collectOwnHomes(_parent.share, _parent.table);
-	takeHomes(_parent.share, _parent.table, _link, homesForParent(_child.share), kNow);
-	takeHomes(_child.share, _child.table, kParentOfTree, homesForChild(_parent.share, _link), kNow);
+	applyHomes(_parent.share, _parent.table, _link, homesForParent(_child.share), kNow);
+	applyHomes(_child.share, _child.table, kParentNeighbour, homesForChild(_parent.share, _link), kNow);
 }
 
 TEST(HomeShare, AllRoutersSendAPartWhereOneOfThemHasSentIt)
@@ -60,8 +60,8 @@
 	Random random;
 	const UpstreamId usual = parent.pick(random);
 	const UpstreamId other{(usual.idx + 1) % 3};
-	noteSent(left.table, other, left.query(), kNow);
-	noteEnded(left.table, other, 0.0, HealthSign::None, kNow);
+	recordSent(left.table, other, left.query(), kNow);
+	recordEnded(left.table, other, 0.0, HealthOutcome::None, kNow);
 	EXPECT_EQ(parent.pick(random).idx, usual.idx) << "it has not heard yet, and goes by the hash order";
 	exchange(left, parent, 1);
 	exchange(right, parent, 2);
@@ -74,11 +74,11 @@
 	Router parent;
 	Router child;
 	exchange(child, parent, 1);
-	noteSent(child.table, UpstreamId{0}, child.query(), kNow);
+	recordSent(child.table, UpstreamId{0}, child.query(), kNow);
 	collectOwnHomes(child.share, child.table);
 	const std::vector<NewHome> told = homesForParent(child.share);
 	EXPECT_EQ(told, (std::vector<NewHome>{{kPart, keyOf("u-one")}}));
-	takeHomes(parent.share, parent.table, 1, told, kNow);
+	applyHomes(parent.share, parent.table, 1, told, kNow);
 	EXPECT_TRUE(homesForChild(parent.share, 1).empty());
 	EXPECT_TRUE(homesForParent(child.share).empty()) << "it is told once";
 }
@@ -87,21 +87,21 @@
 {
 	Router router;
 	homesForChild(router.share, 1);
-	for (uint64_t part = 0; part < 3 * uint64_t(kMostUntold); ++part)
+	for (uint64_t part = 0; part < 3 * uint64_t(kMaxUnsentHomes); ++part)
 	{
 		const std::vector<NewHome> homes{{part, keyOf("u-one")}, {part, keyOf("u-gone")}};
-		takeHomes(router.share, router.table, kParentOfTree, homes, kNow);
+		applyHomes(router.share, router.table, kParentNeighbour, homes, kNow);
 	}
-	EXPECT_EQ(homesForChild(router.share, 1).size(), kMostUntold);
+	EXPECT_EQ(homesForChild(router.share, 1).size(), kMaxUnsentHomes);
 }
 
 TEST(HomeShare, APartThatIsSentToTheSameUpstreamAgainSoonIsNoNews)
 {
 	Router router;
-	noteSent(router.table, UpstreamId{0}, router.query(), kNow);
-	noteSent(router.table, UpstreamId{0}, router.query(), kNow + 1000 * kMsToUs);
+	recordSent(router.table, UpstreamId{0}, router.query(), kNow);
+	recordSent(router.table, UpstreamId{0}, router.query(), kNow + 1000 * kMsToUs);
 	EXPECT_EQ(router.table.newHomes.size(), 1u);
-	noteSent(router.table, UpstreamId{0}, router.query(), kNow + 6000 * kMsToUs);
+	recordSent(router.table, UpstreamId{0}, router.query(), kNow + 6000 * kMsToUs);
 	EXPECT_EQ(router.table.newHomes.size(), 2u) << "the others would forget it otherwise";
 }
 
--- a/tests/core/load_share_test.cpp
+++ b/tests/core/load_share_test.cpp
@@ -40,15 +40,15 @@
 /// One ping and its answer. @param[in] _link Of the child, at the parent. @returns Changes told both ways.
 size_t exchange(Router& _child, Router& _parent, uint32_t _link, TimeUs _now)
 {
-	applyOthersLoad(_child.share, _child.table, _now);
-	applyOthersLoad(_parent.share, _parent.table, _now);
-	const std::vector<LoadChange> up = changesFor(_child.share, _child.share.parent);
+	applyPeerLoads(_child.share, _child.table, _now);
+	applyPeerLoads(_parent.share, _parent.table, _now);
+	const std::vector<LoadChange> up = loadChangesFor(_child.share, _child.share.parent);
 	NeighbourLoad& child = _parent.share.children[_link];
-	takeLoads(_parent.share, child, up, _now);
-	const std::vector<LoadChange> down = changesFor(_parent.share, child);
-	takeLoads(_child.share, _child.share.parent, down, _now);
-	applyOthersLoad(_child.share, _child.table, _now);
-	applyOthersLoad(_parent.share, _parent.table, _now);
+	applyLoads(_parent.share, child, up, _now);
+	const std::vector<LoadChange> down = loadChangesFor(_parent.share, child);
+	applyLoads(_child.share, _child.share.parent, down, _now);
+	applyPeerLoads(_child.share, _child.table, _now);
+	applyPeerLoads(_parent.share, _parent.table, _now);
 	return up.size() + down.size();
 }
 
@@ -129,7 +129,7 @@
 	Router parent;
 	child.has(0, 2, 50.0);
 	exchange(child, parent, 1, kNow);
-	applyOthersLoad(parent.share, parent.table, kNow + kLoadLifetime);
+	applyPeerLoads(parent.share, parent.table, kNow + kLoadLifetime);
 	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 0u);
 	exchange(child, parent, 1, kNow + 2 * kLoadLifetime);
 	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 2u) << "nothing changed, and it counts again";
@@ -141,10 +141,10 @@
 	Router parent;
 	child.has(0, 2, 50.0);
 	exchange(child, parent, 1, kNow);
-	dropLoads(parent.share, parent.share.children[1]);
+	removeLoads(parent.share, parent.share.children[1]);
 	parent.share.children.erase(1);
-	dropLoads(child.share, child.share.parent);
-	applyOthersLoad(parent.share, parent.table, kNow);
+	removeLoads(child.share, child.share.parent);
+	applyPeerLoads(parent.share, parent.table, kNow);
 	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 0u);
 	exchange(child, parent, 2, kNow);
 	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 2u);
@@ -158,10 +158,10 @@
 	{
 		const std::vector<LoadChange> came{{keyOf(upstreamName(idx)), {10, 1}}};
 		const std::vector<LoadChange> went{{keyOf(upstreamName(idx)), {0, 0}}};
-		takeLoads(parent.share, parent.share.children[1], came, kNow);
-		applyOthersLoad(parent.share, parent.table, kNow);
-		takeLoads(parent.share, parent.share.children[1], went, kNow);
-		applyOthersLoad(parent.share, parent.table, kNow);
+		applyLoads(parent.share, parent.share.children[1], came, kNow);
+		applyPeerLoads(parent.share, parent.table, kNow);
+		applyLoads(parent.share, parent.share.children[1], went, kNow);
+		applyPeerLoads(parent.share, parent.table, kNow);
 	}
 	EXPECT_LT(parent.share.sum.size(), 200u);
 	EXPECT_TRUE(parent.share.children[1].loads.empty());
--- a/tests/core/policies_test.cpp
+++ b/tests/core/policies_test.cpp
@@ -45,8 +45,8 @@
 	UpstreamTable table;
 	table.policies.ejection = false;
 	const UpstreamId only = registerUpstream(table, {"u", "llm", "10.0.0.1:1", "a", "v1", 8, false});
-	noteSent(table, only, {}, 0);
-	EXPECT_EQ(noteEnded(table, only, 0.0, HealthSign::Unreachable, 0), HealthChange::None);
+	recordSent(table, only, {}, 0);
+	EXPECT_EQ(recordEnded(table, only, 0.0, HealthOutcome::Unreachable, 0), HealthChange::None);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/reading_pace_test.cpp
+++ b/tests/core/reading_pace_test.cpp
@@ -37,9 +37,9 @@
 		{
 			const double wait = nextUnit(random) < kBusy ? nextUnit(random) * kLongReadMs : 0.0;
 			const TimeUs latency = TimeUs((kHeadMs + wait + _tokenMs * kTokens) * double(kMsToUs));
-			const double prefillMs = noteSent(table, engine, query(), 0);
-			noteHead(table, engine, query(), prefillMs, latency);
-			noteEnded(table, engine, 0.0, HealthSign::Good, 0);
+			const double prefillMs = recordSent(table, engine, query(), 0);
+			recordFirstToken(table, engine, query(), prefillMs, latency);
+			recordEnded(table, engine, 0.0, HealthOutcome::Good, 0);
 		}
 	}
 
@@ -50,7 +50,7 @@
 };
 
 // The belief followed the mean of what waited: 114 ms for a prompt that takes 21.
-TEST(ReadingPace, OfABusyEngineIsBelievedWithinTwiceTheTruth)
+TEST(PrefillEstimate, OfABusyEngineIsBelievedWithinTwiceTheTruth)
 {
 	BusyEngine engine;
 	engine.answer(200, kTrueTokenMs);
@@ -60,7 +60,7 @@
 
 // An engine that had once been queued at for long was believed slow from then on, as nothing was sent there
 // that could have shown otherwise: of 28 engines 21 were in use while prompts waited for 0.7 s at them.
-TEST(ReadingPace, AnEngineThatWasOnceBusyIsUsedAgainWhenItsQueueIsGone)
+TEST(PrefillEstimate, AnEngineThatWasOnceBusyIsUsedAgainWhenItsQueueIsGone)
 {
 	BusyEngine engines;
 	const UpstreamId other =
@@ -69,9 +69,9 @@
 	engines.answer(200, kTrueTokenMs);
 	for (int ii = 0; ii < 20; ++ii) // A burst, each behind the one before.
 	{
-		const double prefillMs = noteSent(engines.table, other, query, 0);
-		noteHead(engines.table, other, query, prefillMs, TimeUs(ii) * 100 * kMsToUs);
-		noteEnded(engines.table, other, 0.0, HealthSign::Good, 0);
+		const double prefillMs = recordSent(engines.table, other, query, 0);
+		recordFirstToken(engines.table, other, query, prefillMs, TimeUs(ii) * 100 * kMsToUs);
+		recordEnded(engines.table, other, 0.0, HealthOutcome::Good, 0);
 	}
 	int used = 0;
 	for (uint64_t ii = 0; ii < 100; ++ii)
@@ -82,7 +82,7 @@
 	EXPECT_GT(used, 30);
 }
 
-TEST(ReadingPace, FollowsEnginesThatBecomeSlowForGood)
+TEST(PrefillEstimate, FollowsEnginesThatBecomeSlowForGood)
 {
 	BusyEngine engine;
 	engine.answer(200, kTrueTokenMs);
--- a/tests/core/upstream_table_test.cpp
+++ b/tests/core/upstream_table_test.cpp
@@ -52,10 +52,10 @@
 		noteStoreProof(table.contact, _to, _to);
 	}
 
-	void fail(UpstreamId _id, HealthSign _sign, TimeUs _now)
+	void fail(UpstreamId _id, HealthOutcome _sign, TimeUs _now)
 	{
-		noteSent(table, _id, query(), _now);
-		noteEnded(table, _id, 0.0, _sign, _now);
+		recordSent(table, _id, query(), _now);
+		recordEnded(table, _id, 0.0, _sign, _now);
 	}
 };
 
@@ -64,10 +64,10 @@
 	UpstreamRecord leaving = record("one");
 	registerUpstream(table, leaving);
 	EXPECT_EQ(pick(query(), 0), "one");
-	leaving.leaving = true;
+	leaving.draining = true;
 	registerUpstream(table, leaving);
 	EXPECT_EQ(pick(query(), 0), "");
-	leaving.leaving = false;
+	leaving.draining = false;
 	registerUpstream(table, leaving);
 	EXPECT_EQ(pick(query(), 0), "");
 }
@@ -75,18 +75,18 @@
 TEST_F(TableTest, ARequestLimitedToRegionsGoesToTheirUpstreamsAloneAndIsRememberedThere)
 {
 	registerUpstream(table, record("near", "a"));
-	table.hearsOthers = true;
+	table.receivesPeerUpdates = true;
 	UpstreamQuery limited = query();
 	limited.shared = {{77, 500}};
 	limited.limit = limitHalls({{"a", "south"}, {"b", "north"}}, {"north"}, {});
 	EXPECT_EQ(pick(limited, 0), "");
-	EXPECT_EQ(whyNone(table, limited, 0), NoUpstream::Regions);
+	EXPECT_EQ(noUpstreamReason(table, limited, 0), NoUpstream::Regions);
 	const UpstreamId far = registerUpstream(table, record("far", "b"));
 	EXPECT_EQ(pick(limited, 0), "far");
-	noteSent(table, far, limited, 0);
+	recordSent(table, far, limited, 0);
 	EXPECT_TRUE(table.newHomes.empty()) << "told to routers of other regions";
 	limited.limit = {};
-	noteSent(table, far, limited, 20 * kSecond);
+	recordSent(table, far, limited, 20 * kSecond);
 	EXPECT_EQ(table.newHomes.size(), 1u);
 }
 
@@ -110,7 +110,7 @@
 
 TEST_F(TableTest, WhereTheBoundIsLongAnUpstreamHasAsLongToReturnAsLiveOnesTake)
 {
-	table.leaveBound = 10 * kSecond;
+	table.drainBound = 10 * kSecond;
 	registerUpstream(table, record("one"));
 	beAway(5 * kSecond, 10 * kSecond);
 	replaceRegistrations(table, {}, 10 * kSecond);
@@ -140,7 +140,7 @@
 TEST_F(TableTest, AnUpstreamThatSaidThatItLeavesIsNotUsedAfterAnOutageEither)
 {
 	UpstreamRecord leaving = record("one");
-	leaving.leaving = true;
+	leaving.draining = true;
 	registerUpstream(table, record("one"));
 	registerUpstream(table, leaving);
 	beAway(5 * kSecond, 10 * kSecond);
@@ -161,7 +161,7 @@
 	EXPECT_TRUE(maySendTo(table, two, 10 * kSecond + 1700 * kMsToUs)) << "chosen as there was none else";
 	EXPECT_FALSE(maySendTo(table, two, 10 * kSecond + 1800 * kMsToUs));
 	UpstreamRecord leaving = record("three");
-	leaving.leaving = true;
+	leaving.draining = true;
 	EXPECT_FALSE(maySendTo(table, registerUpstream(table, leaving), 0));
 }
 
@@ -169,23 +169,23 @@
 {
 	const UpstreamId bad = registerUpstream(table, record("bad"));
 	registerUpstream(table, record("good", "b"));
-	fail(bad, HealthSign::Unreachable, 0);
+	fail(bad, HealthOutcome::Unreachable, 0);
 	EXPECT_EQ(pick(query(), 1), "good");
 	const TimeUs later = 3 * kSecond;
 	EXPECT_EQ(pick(query(), later), "good") << "a request that can't be repeated is no trial";
 	UpstreamQuery repeatable = query();
 	repeatable.repeatable = true;
 	EXPECT_EQ(pick(repeatable, later), "bad");
-	noteSent(table, bad, repeatable, later);
+	recordSent(table, bad, repeatable, later);
 	EXPECT_EQ(pick(repeatable, later), "good") << "one trial at a time";
-	EXPECT_EQ(noteEnded(table, bad, 0.0, HealthSign::Good, later), HealthChange::Returned);
+	EXPECT_EQ(recordEnded(table, bad, 0.0, HealthOutcome::Good, later), HealthChange::Returned);
 	EXPECT_EQ(pick(query(), later), "bad");
 }
 
 TEST_F(TableTest, WithAllEjectedAnyIsBetterThanNone)
 {
 	const UpstreamId only = registerUpstream(table, record("only"));
-	fail(only, HealthSign::Unreachable, 0);
+	fail(only, HealthOutcome::Unreachable, 0);
 	EXPECT_EQ(pick(query(), 1), "only");
 }
 
@@ -197,7 +197,7 @@
 	uint32_t ejected = 0;
 	for (uint32_t ii = 0; ii < 2000; ++ii)
 	{
-		fail(one, nextUnit(luck) < 0.14 ? HealthSign::Failed : HealthSign::Good, ii * kSecond);
+		fail(one, nextUnit(luck) < 0.14 ? HealthOutcome::Failed : HealthOutcome::Good, ii * kSecond);
 		ejected += table.entries.at(one.idx).health.ejections > 0 ? 1 : 0;
 	}
 	EXPECT_LT(ejected, 100u);
@@ -220,7 +220,7 @@
 	const UpstreamId id{table.idxOfId.at(home)};
 	for (int ii = 0; ii < 20; ++ii)
 	{
-		noteSent(table, id, shared, 0);
+		recordSent(table, id, shared, 0);
 	}
 	EXPECT_NE(pick(shared, 0), home);
 }
@@ -245,7 +245,7 @@
 		home = plain ? UpstreamId{ii} : home;
 	}
 	ASSERT_TRUE(isValid(home));
-	EXPECT_EQ(noteSent(table, home, prompt, 0), whole);
+	EXPECT_EQ(recordSent(table, home, prompt, 0), whole);
 	EXPECT_EQ(prefillMsAt(table, prompt, home, 1), 0.0) << "both parts are kept now";
 	EXPECT_NEAR(prefillMsAt(table, sibling, home, 1), whole / 2, 1.0)
 		<< "the first part is kept, the second is not";
@@ -276,13 +276,13 @@
 	prompt.shared = {{7, 6000}};
 	prompt.ownTokens = 1000;
 	const std::string home = pick(prompt, 0);
-	table.hearsOthers = true;
+	table.receivesPeerUpdates = true;
 	// At 0.02 ms a token: 26 ms of reading and 61 of waiting there; 44 or more of reading elsewhere.
 	table.entries.at(table.idxOfId.at(home)).others = {60.0, 4};
 	EXPECT_EQ(pick(prompt, 0), home) << "reading it elsewhere costs more than this wait";
-	prompt.withinMs = 80.0;
+	prompt.firstTokenTargetMs = 80.0;
 	EXPECT_NE(pick(prompt, 0), home);
-	prompt.withinMs = 1.0;
+	prompt.firstTokenTargetMs = 1.0;
 	EXPECT_NE(pick(prompt, 0), home) << "none is in time: the soonest";
 }
 
@@ -292,18 +292,18 @@
 	registerUpstream(table, record("far", "b"));
 	const UpstreamId near{table.idxOfId.at("near")};
 	const UpstreamId far{table.idxOfId.at("far")};
-	table.hearsOthers = true;
-	notePeerHome(table, {7, keyOf("far")}, 0);
+	table.receivesPeerUpdates = true;
+	recordPeerHome(table, {7, keyOf("far")}, 0);
 	UpstreamQuery prompt = query();
 	prompt.shared = {{7, 3000}}; // 60 ms of reading at the pace before any was measured.
-	prompt.withinMs = 1000.0;
+	prompt.firstTokenTargetMs = 1000.0;
 	EXPECT_EQ(pick(prompt, 0), "near") << "reading it again costs less than the bytes";
 	prompt.shared = {{7, 13000}};
 	EXPECT_EQ(pick(prompt, 0), "far") << "reading it again costs more than the bytes";
 	prompt.shared = {{7, 3000}};
 	table.entries.at(near.idx).prefillMs = 2000.0;
 	EXPECT_EQ(pick(prompt, 0), "far") << "the near one would be late";
-	EXPECT_NEAR(expectedHeadMs(table, prompt, far, 0), 0.0, 1.0) << "its price is no time";
+	EXPECT_NEAR(expectedFirstTokenMs(table, prompt, far, 0), 0.0, 1.0) << "its price is no time";
 }
 
 TEST_F(TableTest, WhatOtherRoutersHaveWaitingCountsForPrompts)
@@ -315,7 +315,7 @@
 	UpstreamQuery prompt = query();
 	prompt.shared = {{7, 2000}};
 	const std::string home = pick(prompt, 0);
-	table.hearsOthers = true;
+	table.receivesPeerUpdates = true;
 	table.entries.at(table.idxOfId.at(home)).others = {500.0, 4};
 	EXPECT_NE(pick(prompt, 0), home);
 	EXPECT_GT(expectedWaitMs(table, UpstreamId{table.idxOfId.at(home)}), 500.0);
@@ -337,7 +337,7 @@
 {
 	registerUpstream(table, record("one"));
 	unregisterUpstream(table, "one", 0);
-	forgetGone(table, 60 * kSecond);
+	removeGoneUpstreams(table, 60 * kSecond);
 	EXPECT_TRUE(table.entries.empty());
 	EXPECT_TRUE(table.idxOfId.empty());
 }
@@ -345,17 +345,17 @@
 TEST_F(TableTest, AnUpstreamThatStartsAgainUnderItsIdHasNothingOfTheOneBefore)
 {
 	UpstreamRecord one = record("one");
-	one.born = 1000;
+	one.startedAtMs = 1000;
 	const UpstreamId before = registerUpstream(table, one);
 	for (int ii = 0; ii < 3; ++ii)
 	{
-		fail(before, HealthSign::Unreachable, kSecond);
+		fail(before, HealthOutcome::Unreachable, kSecond);
 	}
-	noteSent(table, before, query(), kSecond);
-	one.leaving = true;
+	recordSent(table, before, query(), kSecond);
+	one.draining = true;
 	registerUpstream(table, one);
-	one.leaving = false;
-	one.born = 2000;
+	one.draining = false;
+	one.startedAtMs = 2000;
 	const UpstreamId after = registerUpstream(table, one, 2 * kSecond);
 	EXPECT_FALSE(before == after) << "what a request has tried is another upstream";
 	const UpstreamEntry& entry = table.entries.at(after.idx);
@@ -365,8 +365,8 @@
 		<< "loads and homes that others told are not its own";
 	EXPECT_EQ(pick(query(), 2 * kSecond), "one");
 	EXPECT_FALSE(maySendTo(table, before, 2 * kSecond));
-	noteEnded(table, before, 0.0, HealthSign::Good, 3 * kSecond);
-	forgetGone(table, 60 * kSecond);
+	recordEnded(table, before, 0.0, HealthOutcome::Good, 3 * kSecond);
+	removeGoneUpstreams(table, 60 * kSecond);
 	EXPECT_EQ(table.entries.count(before.idx), 0u);
 	EXPECT_EQ(pick(query(), 60 * kSecond), "one") << "forgetting the one before keeps the new one's name";
 }
@@ -374,12 +374,12 @@
 TEST_F(TableTest, ARecordOfAnOlderLifeChangesNothingByWhateverWayItComes)
 {
 	UpstreamRecord one = record("one");
-	one.born = 2000;
+	one.startedAtMs = 2000;
 	registerUpstream(table, one);
 	UpstreamRecord old = record("one");
-	old.born = 1000;
-	old.leaving = true;
-	EXPECT_EQ(lifeOrder(table, old), LifeOrder::Older);
+	old.startedAtMs = 1000;
+	old.draining = true;
+	EXPECT_EQ(incarnationOrder(table, old), IncarnationOrder::Older);
 	registerUpstream(table, old);
 	EXPECT_EQ(pick(query(), 0), "one");
 	EXPECT_TRUE(replaceRegistrations(table, {&old, 1}, kSecond).empty());
@@ -389,13 +389,13 @@
 TEST_F(TableTest, ARecordThatTellsNoStartIsTakenForTheOneThatIsKnown)
 {
 	UpstreamRecord one = record("one");
-	one.born = 2000;
+	one.startedAtMs = 2000;
 	registerUpstream(table, one);
-	one.leaving = true;
-	one.born = 0;
+	one.draining = true;
+	one.startedAtMs = 0;
 	registerUpstream(table, one);
 	EXPECT_EQ(pick(query(), 0), "");
-	one.leaving = false;
+	one.draining = false;
 	registerUpstream(table, one);
 	EXPECT_EQ(pick(query(), 0), "") << "it has not started again";
 }
--- a/tests/direct/chosen_upstream_test.cpp
+++ b/tests/direct/chosen_upstream_test.cpp
@@ -150,7 +150,7 @@
 	void leave(const Upstream& _upstream)
 	{
 		UpstreamRecord record = recordOf(_upstream);
-		record.leaving = true;
+		record.draining = true;
 		registerUpstream(router.upstreams, record);
 	}
 
