--- a/include/spanplank/agent_core.h
+++ b/include/spanplank/agent_core.h
@@ -126,7 +126,7 @@
 	std::unordered_map<std::string, Submit> guardedSubmits;
 	uint64_t nextWork = 1;
 	BillTable bills; ///< Copies, until the requesting router has flushed them or this agent does so instead.
-	SuspectBook suspects;
+	SuspectTable suspects;
 	uint32_t upstreamIncarnations = 0; ///< Number of times that the upstream has terminated.
 	bool upstreamDown = false;         ///< The upstream has terminated and not answered since.
 	bool stopping = false;
--- a/include/spanplank/peer_messages.h
+++ b/include/spanplank/peer_messages.h
@@ -22,13 +22,13 @@
 /// Sent periodically by a router to its parent.
 struct PeerPing
 {
-	uint64_t seq = 0;                  ///< Increases with each ping of a link.
-	std::vector<LoadChange> loads;     ///< Loads in the sender's subtree that changed since the last ping.
-	std::vector<NewHome> homes;        ///< Homes learned since the last ping, except from the receiver.
-	std::vector<TrialHalt> halts;      ///< Halts that are not in the store yet.
-	std::vector<TrialNews> trials;     ///< Evidence of the running trials.
-	std::vector<SuspectNews> suspects; ///< Suspects that changed since the last ping over this link.
-	std::vector<UsageRow> usage;       ///< Usage in the sender's subtree that changed since it was last sent.
+	uint64_t seq = 0;                    ///< Increases with each ping of a link.
+	std::vector<LoadChange> loads;       ///< Loads in the sender's subtree that changed since the last ping.
+	std::vector<NewHome> homes;          ///< Homes learned since the last ping, except from the receiver.
+	std::vector<TrialHalt> halts;        ///< Halts that are not in the store yet.
+	std::vector<TrialNews> trials;       ///< Evidence of the running trials.
+	std::vector<SuspectUpdate> suspects; ///< Suspects that changed since the last ping over this link.
+	std::vector<UsageRow> usage; ///< Usage in the sender's subtree that changed since it was last sent.
 };
 
 /// Answers a `PeerPing`.
@@ -40,13 +40,13 @@
 	TimeUs confirmationAge = 0;
 	/// Loads of routers outside the receiver's subtree that changed since the last answer.
 	std::vector<LoadChange> loads;
-	std::vector<NewHome> homes;        ///< Homes learned since the last answer, except from the receiver.
-	bool stopping = false;             ///< The sender shuts down: the receiver must choose another parent.
-	std::vector<TrialHalt> halts;      ///< Halts that are not in the store yet.
-	std::vector<PeerKey> chain;        ///< The sender, its parent, and so on; used to detect cycles.
-	std::vector<TrialNews> trials;     ///< Evidence of the running trials.
-	std::vector<SuspectNews> suspects; ///< Suspects that changed since the last answer over this link.
-	TimeUs wall = 0;                   ///< The sender's time of day, us since 1970.
+	std::vector<NewHome> homes;          ///< Homes learned since the last answer, except from the receiver.
+	bool stopping = false;               ///< The sender shuts down: the receiver must choose another parent.
+	std::vector<TrialHalt> halts;        ///< Halts that are not in the store yet.
+	std::vector<PeerKey> chain;          ///< The sender, its parent, and so on; used to detect cycles.
+	std::vector<TrialNews> trials;       ///< Evidence of the running trials.
+	std::vector<SuspectUpdate> suspects; ///< Suspects that changed since the last answer over this link.
+	TimeUs wall = 0;                     ///< The sender's time of day, us since 1970.
 };
 
 /// Requests the store changes that the sender missed, from its parent.
@@ -243,7 +243,7 @@
 }
 
 /// As `decodeLoads`.
-inline void decodeSuspects(const nlohmann::json& _json, size_t _at, std::vector<SuspectNews>& _suspects)
+inline void decodeSuspects(const nlohmann::json& _json, size_t _at, std::vector<SuspectUpdate>& _suspects)
 {
 	if (_json.size() > _at)
 	{
