--- a/include/spanplank/agent_core.h
+++ b/include/spanplank/agent_core.h
@@ -186,7 +186,7 @@
 void tick(AgentCore& _core, TimeUs _now, int64_t _wallMs, AgentActions& _actions);
 
 /// @returns The load report for the routers.
-Report loadReport(const AgentCore& _core);
+LoadReport loadReport(const AgentCore& _core);
 
 /// @returns Whether no work, run-once call or unflushed bill is left, so that a planned stop can complete.
 bool isDrained(const AgentCore& _core);
