--- a/include/spanplank/answer_times.h
+++ b/include/spanplank/answer_times.h
@@ -1,8 +1,8 @@
-/// How quick answers are, compared with those of another version: by rank among its newest answers.
+/// Compares the times of answers with those of another version, by their rank among its newest answers.
 ///
-/// An expectation that is learned from the answers judged rises with them, and a mean is moved by queues. The
-/// rank needs no expectation: an answer is quick if it is among the quickest of the version that is compared
-/// with, at the same router, for the same kind of request, in the same seconds.
+/// An expectation learned from the judged answers rises with them, and a mean is shifted by queues. A rank
+/// needs no expectation: an answer is quick if it is among the quickest of the reference version at the same
+/// router, for the same kind of request, in the same seconds.
 #ifndef SPANPLANK_ANSWER_TIMES_H_HEADER_GUARD
 #define SPANPLANK_ANSWER_TIMES_H_HEADER_GUARD
 
@@ -18,64 +18,67 @@
 
 namespace spanplank
 {
-/// What is measured of an answer.
+/// Measured quantity of an answer.
 enum class TimeKind : uint8_t
 {
-	Head, ///< Of a stream, until its head came: cold caches of prompts move it.
-	Pace, ///< The mean pause between the events of a stream, or a plain answer's whole time.
+	FirstToken, ///< Time to the first token of a stream; cold prompt caches increase it.
+	PerToken,   ///< Mean pause between the events of a stream, or the whole time of a plain answer.
 };
 constexpr size_t kTimeKinds = 2;
 
 /// Times of one answer.
 struct AnswerTimes
 {
-	std::string headKind; ///< Answers whose heads take alike: route and model; empty: no head to compare.
-	double headMs = 0.0;  ///< Since the attempt began.
-	std::string paceKind; ///< Answers whose paces are alike: the model, or the route; empty: none to compare.
-	double paceMs = 0.0;
+	/// Group with comparable times to the first token: route and model; empty if there is none to compare.
+	std::string firstTokenKind;
+	double firstTokenMs = 0.0; ///< Since the start of the attempt.
+	/// Group with comparable times per token: the model, or the route; empty if there is none to compare.
+	std::string timePerTokenKind;
+	double timePerTokenMs = 0.0;
 };
 
-/// A time of an answer.
-struct TimedAnswer
+/// One measured time of an answer.
+struct TimedValue
 {
 	float ms = 0.0f;
-	TimeUs at = 0; ///< When it was taken.
+	TimeUs recordedAt = 0;
 };
 
-/// Newest times of one kind, oldest overwritten.
-struct TimeSample
+/// Ring buffer of the newest times of one kind.
+struct TimeRing
 {
-	std::vector<TimedAnswer> newest; ///< At most `kTimesKept`.
-	size_t next = 0;                 ///< Overwritten next once it is full.
+	std::vector<TimedValue> newest; ///< At most `kMaxTimes`.
+	size_t next = 0;                ///< Index that is overwritten next once the ring is full.
 };
 
-/// Times of the answers that others are compared with, by kind of answer.
+/// Times of the reference version's answers, by kind of answer.
 struct TimeReference
 {
-	std::array<std::unordered_map<std::string, TimeSample>, kTimeKinds> samples;
+	std::array<std::unordered_map<std::string, TimeRing>, kTimeKinds> samples;
 };
 
-constexpr size_t kTimesKept = 64;
-/// Answers before a rank among them is believed; with fewer nothing is compared.
-constexpr size_t kLeastTimes = 8;
-/// How old an answer may be to be compared with: a rise of the load moves both versions alike.
-constexpr TimeUs kCompared = 2000 * kMsToUs;
-/// Newest answers that are compared with where fewer came in that time: ranks among fewer are blurred.
-constexpr size_t kLeastCompared = 24;
+constexpr size_t kMaxTimes = 64;
+/// Reference answers that are needed for a rank; with fewer, answers are not compared.
+constexpr size_t kMinTimes = 8;
+/// Maximum age of a reference answer, so that a rise of the load affects both versions alike.
+constexpr TimeUs kMaxComparedAge = 2000 * kMsToUs;
+/// Newest reference answers that are used, whatever their age, if fewer came within `kMaxComparedAge`: ranks
+/// among fewer are imprecise.
+constexpr size_t kMinCompared = 24;
 
-/// Takes an answer of the version that is compared with.
-void noteTimes(TimeReference& _reference, const AnswerTimes& _times, TimeUs _now);
+/// Records an answer of the reference version.
+void recordTimes(TimeReference& _reference, const AnswerTimes& _times, TimeUs _now);
 
-/// How an answer's time ranks.
+/// Rank of an answer's time among the reference answers.
 enum class TimeRank : uint8_t
 {
-	Quick, ///< Among the quickest of the reference.
+	Quick, ///< Among the quickest reference answers.
 	Usual,
-	Slow, ///< Several times as long as most of them.
+	Slow, ///< Several times as long as most reference answers.
 };
 
-/// @param[in] _quickShare Of the reference's answers, that count as quick: 0 to 1.
-/// @returns The rank of an answer; nothing: too few to compare with, or not measured.
+/// @param[in] _quickShare Share of the reference answers that count as quick: 0 to 1.
+/// @returns The rank of an answer; nothing if it was not measured or has too few reference answers.
 std::optional<TimeRank> rankOf(const TimeReference& _reference, TimeKind _kind, const AnswerTimes& _times,
 							   double _quickShare, TimeUs _now);
 } // namespace spanplank
--- a/include/spanplank/exposure.h
+++ b/include/spanplank/exposure.h
@@ -1,5 +1,5 @@
-/// Exposure to a candidate version: how many answers it may give before their ratings are in, and when the
-/// ratings say halt or serve.
+/// Limits the answers of a candidate version whose ratings are still outstanding, and decides by the ratings
+/// whether the version is halted or served.
 #ifndef SPANPLANK_EXPOSURE_H_HEADER_GUARD
 #define SPANPLANK_EXPOSURE_H_HEADER_GUARD
 
@@ -13,7 +13,7 @@
 
 namespace spanplank
 {
-/// Ratings of one version generation, all of them, over all boxes.
+/// All ratings of one version generation, over all boxes.
 struct RatingTally
 {
 	uint64_t good = 0;
@@ -27,70 +27,71 @@
 	Serve,
 };
 
-/// Chance that a version of acceptable bad rate is ever halted, over a whole roll-out.
-constexpr double kFalseHalt = 0.001;
-/// Chance that a version at or above the halt rate is ever promoted.
-constexpr double kFalseServe = 0.001;
+/// Probability that a version with an acceptable bad rate is ever halted during a roll-out.
+constexpr double kFalseHaltProbability = 0.001;
+/// Probability that a version at or above the halt rate is ever promoted.
+constexpr double kFalseServeProbability = 0.001;
 
-/// An always-valid sequential test (a test martingale, so that it may be looked at after each rating).
-/// @returns Halt once the ratings reject `bad rate <= badRate` at level `kFalseHalt`; Serve once they reject
-/// `bad rate >= haltRate` at level `kFalseServe`.
+/// An always-valid sequential test (a test martingale, so that it may be evaluated after each rating).
+/// @returns Halt once the ratings reject `bad rate <= badRate` at level `kFalseHaltProbability`; Serve once
+/// they reject `bad rate >= haltRate` at level `kFalseServeProbability`.
 RolloutVerdict judgeRatings(const RatingTally& _tally, const Rollout& _rollout);
 
-/// @returns log of the evidence against `bad rate <= badRate`: a mixture over worse rates.
+/// @returns Logarithm of the evidence against `bad rate <= badRate`: a mixture over worse rates.
 double evidenceOfBad(const RatingTally& _tally, const Rollout& _rollout);
 
-/// @returns log of the evidence against `bad rate >= haltRate`.
+/// @returns Logarithm of the evidence against `bad rate >= haltRate`.
 double evidenceOfGood(const RatingTally& _tally, const Rollout& _rollout);
 
-/// Watches a serving version: two one-sided cumulative sums (Page, 1954) of the log likelihood ratio, one
-/// against the halt rate, one against a version gone wholly bad.
+/// Monitors a serving version: two one-sided cumulative sums (Page, 1954) of the log likelihood ratio, one
+/// against the halt rate, one against a bad rate of at least 0.5.
 struct DriftWatch
 {
 	double mild = 0.0;
 	double severe = 0.0;
 };
 
-/// Height at which a sum halts: mean ratings between false halts are at least e^height.
-constexpr double kDriftHeight = 16.0;
+/// Sum at which the version is halted: the mean number of ratings between false halts is at least
+/// e^threshold.
+constexpr double kDriftThreshold = 16.0;
 
-/// Takes in ratings, the good ones first.
+/// Adds ratings, the good ones first.
 /// @returns Whether the version must be halted: it was acceptable and has turned bad.
-bool observe(DriftWatch& _watch, const RatingTally& _news, double _badRate, double _haltRate);
+bool observe(DriftWatch& _watch, const RatingTally& _ratings, double _badRate, double _haltRate);
 
-/// Credits for answers, as the store keeps them for one roll-out. Written by compare-and-swap only.
+/// Credits for answers of one roll-out in the store. Written by compare-and-swap only.
 struct ExposureLedger
 {
 	std::string version;
 	uint32_t generation = 0;
-	uint64_t granted = 0;                     ///< Answers that boxes may have given, in all.
-	std::map<std::string, uint64_t> grantSeq; ///< By agent incarnation: its latest grant, to resolve a
-											  ///< write whose answer was lost.
+	uint64_t granted = 0;                     ///< Total of answers that boxes may have given.
+	std::map<std::string, uint64_t> grantSeq; ///< Latest grant by agent incarnation; tells whether a write
+											  ///< without a reply was applied.
 };
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(ExposureLedger, version, generation, granted, grantSeq)
 
-/// @returns Answers that may have been given in all, given the ratings that are in: `exposure` beyond those
-/// rated, and more as good ratings add up, so that unrated answers can't stop a good version.
+/// @returns Total of answers that may have been given with these ratings: `exposure` more than were rated,
+/// and further ones as good ratings accumulate, so that unrated answers cannot block a good version.
 uint64_t exposureAllowance(const RatingTally& _tally, const Rollout& _rollout);
 
-/// @returns How many credits an agent may take of the ledger now, at most `_want`.
-uint64_t grantable(const ExposureLedger& _ledger, const RatingTally& _tally, const Rollout& _rollout,
-				   uint64_t _want);
+/// @returns Credits that an agent may take from the ledger now, at most `_requested`.
+uint64_t grantableCredits(const ExposureLedger& _ledger, const RatingTally& _tally, const Rollout& _rollout,
+						  uint64_t _requested);
 
-/// Adds a grant to the ledger. @param[in] _seq The incarnation's count of its grants, from 1.
+/// Adds a grant to the ledger. @param[in] _seq Sequence number of the incarnation's grants, from 1.
 void addGrant(ExposureLedger& _ledger, const std::string& _incarnation, uint64_t _seq, uint64_t _credits);
 
-/// An agent's own credits. Spent before an answer begins; a blank agent has none.
+/// Credits of one agent, spent before an answer begins. An agent that has just started has none.
 struct ExposureCredits
 {
 	uint32_t generation = 0;
-	uint64_t left = 0;
+	uint64_t remaining = 0;
 	uint64_t spent = 0;
-	uint64_t refused = 0; ///< Since the latest grant: tells that more are wanted.
+	uint64_t refused = 0; ///< Refused answers since the latest grant; above 0, more credits are needed.
 };
 
-/// @returns Whether the candidate may answer once more; if so it is counted.
+/// Spends a credit. @returns Whether the candidate may give one more answer.
 bool spendCredit(ExposureCredits& _credits, uint32_t _generation);
 } // namespace spanplank
 
--- a/include/spanplank/peer_messages.h
+++ b/include/spanplank/peer_messages.h
@@ -26,7 +26,7 @@
 	std::vector<LoadChange> loads;     ///< Of its subtree, changed since the last ping over this link.
 	std::vector<NewHome> homes;        ///< Learned since the last ping, but from the receiver.
 	std::vector<TrialHalt> halts;      ///< Not in the store yet.
-	std::vector<TrialNews> trials;     ///< Of the trials that run.
+	std::vector<TrialUpdate> trials;   ///< Of the trials that run.
 	std::vector<SuspectNews> suspects; ///< Changed since the last ping over this link.
 	std::vector<UsageRow> usage;       ///< Of its subtree, changed since the last telling.
 };
@@ -42,7 +42,7 @@
 	bool stopping = false;         ///< The sender ends soon: another one is to be followed.
 	std::vector<TrialHalt> halts;  ///< Not in the store yet.
 	std::vector<PeerKey> chain;    ///< The sender, whom it follows, and so on; a ring shows in it.
-	std::vector<TrialNews> trials; ///< Of the trials that run.
+	std::vector<TrialUpdate> trials;   ///< Of the trials that run.
 	std::vector<SuspectNews> suspects; ///< Changed since the last answer over this link.
 	TimeUs wall = 0;                   ///< The sender's time of day.
 };
@@ -154,17 +154,17 @@
 	for (const EvidenceRow& row : _rows)
 	{
 		const EvidenceCounts& counts = row.counts;
-		for (const uint32_t number : {row.key.writer, row.key.route, row.key.span})
+		for (const uint32_t number : {row.key.writer, row.key.route, row.key.interval})
 		{
 			numbers.emplace_back(number);
 		}
-		for (const AnswerCounts& answers : {counts.candidate, counts.settled})
+		for (const AnswerCounts& answers : {counts.candidate, counts.baseline})
 		{
 			numbers.emplace_back(answers.good);
 			numbers.emplace_back(answers.bad);
-			numbers.emplace_back(answers.silent);
+			numbers.emplace_back(answers.timedOut);
 		}
-		for (const auto* kinds : {&counts.times, &counts.settledTimes})
+		for (const auto* kinds : {&counts.candidateTimes, &counts.baselineTimes})
 		{
 			for (const TimeCounts& times : *kinds)
 			{
@@ -173,8 +173,8 @@
 				numbers.emplace_back(times.slow);
 			}
 		}
-		numbers.emplace_back(counts.askedAt);
-		numbers.emplace_back(counts.failedAt);
+		numbers.emplace_back(counts.answeredUpstreams);
+		numbers.emplace_back(counts.failedUpstreams);
 	}
 	return numbers;
 }
@@ -186,17 +186,17 @@
 	{
 		size_t at = from;
 		EvidenceRow row;
-		for (uint32_t* number : {&row.key.writer, &row.key.route, &row.key.span})
+		for (uint32_t* number : {&row.key.writer, &row.key.route, &row.key.interval})
 		{
 			_numbers.at(at++).get_to(*number);
 		}
-		for (AnswerCounts* answers : {&row.counts.candidate, &row.counts.settled})
+		for (AnswerCounts* answers : {&row.counts.candidate, &row.counts.baseline})
 		{
 			_numbers.at(at++).get_to(answers->good);
 			_numbers.at(at++).get_to(answers->bad);
-			_numbers.at(at++).get_to(answers->silent);
+			_numbers.at(at++).get_to(answers->timedOut);
 		}
-		for (auto* kinds : {&row.counts.times, &row.counts.settledTimes})
+		for (auto* kinds : {&row.counts.candidateTimes, &row.counts.baselineTimes})
 		{
 			for (TimeCounts& times : *kinds)
 			{
@@ -205,34 +205,35 @@
 				_numbers.at(at++).get_to(times.slow);
 			}
 		}
-		_numbers.at(at++).get_to(row.counts.askedAt);
-		_numbers.at(at++).get_to(row.counts.failedAt);
+		_numbers.at(at++).get_to(row.counts.answeredUpstreams);
+		_numbers.at(at++).get_to(row.counts.failedUpstreams);
 		rows.push_back(row);
 	}
 	return rows;
 }
 
-inline void to_json(nlohmann::json& _json, const TrialNews& _news)
+inline void to_json(nlohmann::json& _json, const TrialUpdate& _news)
 {
-	const nlohmann::json widenIn = _news.widenIn ? nlohmann::json(*_news.widenIn) : nlohmann::json();
+	const nlohmann::json rampStartsIn =
+		_news.rampStartsIn ? nlohmann::json(*_news.rampStartsIn) : nlohmann::json();
 	_json = nlohmann::json::array(
-		{_news.service, _news.orderRevision, _news.elapsed, widenIn, encodeEvidence(_news.rows)});
+		{_news.service, _news.orderRevision, _news.elapsed, rampStartsIn, encodeEvidence(_news.rows)});
 }
 
-inline void from_json(const nlohmann::json& _json, TrialNews& _news)
+inline void from_json(const nlohmann::json& _json, TrialUpdate& _news)
 {
 	_json.at(0).get_to(_news.service);
 	_json.at(1).get_to(_news.orderRevision);
 	_json.at(2).get_to(_news.elapsed);
 	if (!_json.at(3).is_null())
 	{
-		_news.widenIn = _json.at(3).get<TimeUs>();
+		_news.rampStartsIn = _json.at(3).get<TimeUs>();
 	}
 	_news.rows = decodeEvidence(_json.at(4));
 }
 
 /// As `decodeLoads`.
-inline void decodeTrials(const nlohmann::json& _json, size_t _at, std::vector<TrialNews>& _trials)
+inline void decodeTrials(const nlohmann::json& _json, size_t _at, std::vector<TrialUpdate>& _trials)
 {
 	if (_json.size() > _at)
 	{
--- a/include/spanplank/version_trial.h
+++ b/include/spanplank/version_trial.h
@@ -1,12 +1,11 @@
 /// Roll-outs of an upstream's version in direct mode: exposure, halt and completion.
 ///
-/// Sessions move between routers, so the version of a session may not depend on what one router has seen: it
-/// follows from a hash of the session, from the time since the order, and from whether the fleet has proved
-/// the version, which all routers share. The evidence of all routers is put together (`trial_evidence.h`) and
-/// judged
-/// (`trial_verdict.h`). Time alone never gives an unproved version more than the bound on exposure, each
-/// router keeps that bound by its own count of what has reached the service, and only the store's word
-/// completes a version.
+/// Sessions move between routers, so the version of a session must not depend on what one router has
+/// observed. It follows from a hash of the session, from the time since the order, and from whether the fleet
+/// has verified the version, all of which are shared by all routers. The evidence of all routers is merged
+/// (`trial_evidence.h`) and tested (`trial_verdict.h`). The passage of time alone never gives an unverified
+/// version more than the exposure bound, each router enforces that bound by its own count of what has reached
+/// the service, and a version is completed only once the store holds the completion.
 #ifndef SPANPLANK_VERSION_TRIAL_H_HEADER_GUARD
 #define SPANPLANK_VERSION_TRIAL_H_HEADER_GUARD
 
@@ -23,12 +22,12 @@
 
 namespace spanplank
 {
-/// What the operators asked for.
+/// Roll-out that the operators ordered.
 struct RolloutOrder
 {
 	std::string service;
 	std::string version;
-	uint32_t durationMs = 0; ///< From when the order was written.
+	uint32_t durationMs = 0; ///< Starts when the order is written.
 };
 
 enum class RolloutState : uint8_t
@@ -38,224 +37,232 @@
 	RolledBack,
 };
 
-/// @returns A name for logs.
+/// @returns The name of a state as it is logged.
 const char* name(RolloutState _state);
 
-/// What all routers see of a roll-out, in the store.
+/// State of a roll-out in the store, shared by all routers.
 struct RolloutStatus
 {
 	std::string version;
 	RolloutState state = RolloutState::Running;
 };
 
-/// What an attempt says of its version. Crashes and cuts say nothing.
-enum class TrialSign : uint8_t
+/// Outcome of an attempt, as evidence on its version. Crashes and disconnects are no evidence.
+enum class TrialOutcome : uint8_t
 {
 	Good,
-	Bad,    ///< A failure answer.
-	Silent, ///< Nothing came in the time that it should take.
+	Bad,      ///< A failure answer.
+	TimedOut, ///< No answer within the expected time.
 };
 
 struct VersionTrial
 {
 	RolloutOrder order;
-	uint64_t orderRevision = 0; ///< Of the order in the store: a new one begins a new trial.
-	TimeUs startedAt = 0; ///< Of the order, as far as this router knows; others may know an earlier time.
-	TimeUs widenAt = 0;   ///< The fleet has proved it: from then its share grows to all; 0: not yet.
+	uint64_t orderRevision = 0; ///< Revision of the order in the store; a new order starts a new trial.
+	/// Time of the order, the earliest that this router has received; others may have an earlier one.
+	TimeUs startedAt = 0;
+	/// When the share of the verified version starts to grow to all requests; 0 while it is not verified.
+	TimeUs rampStartAt = 0;
 	RolloutState state = RolloutState::Running;
-	uint64_t statusRevision = 0;     ///< Of the status in the store; 0: none.
-	bool decided = false;            ///< It is halted and the store does not say so yet.
-	bool heard = false;              ///< Halted by another router's word or evidence, which others have too.
-	BadSign badSign = BadSign::None; ///< Why this router halted it.
-	TimeUs wantedAt = 0;             ///< Since when this router wants to write a status; 0: it does not.
-	TimeUs writeAfter = 0;           ///< No call to write the status before; a call failed.
-	uint32_t writesLost = 0;         ///< Such calls that failed in a row.
-	TrialEvidence evidence;          ///< Of all routers.
-	TimeReference reference;         ///< Times of this router's answers of the settled version.
-	uint64_t reached = 0;            ///< Attempts of this router that reached an upstream since the order.
-	uint64_t exposed = 0; ///< Attempts on the version on trial: from the choice on, less those never sent.
-	uint64_t credit = 0;  ///< Such attempts that the router may make above its share.
-	TimeUs progressSaved = 0;      ///< Progress that the store holds, so that a blank router can go on.
-	uint64_t progressRevision = 0; ///< Of that record; 0: none.
-	TimeUs loggedAt = 0;           ///< When a line was logged on where it stands.
+	uint64_t statusRevision = 0;  ///< Revision of the status in the store; 0 if there is none.
+	bool statusUnwritten = false; ///< `state` differs from the status in the store and has to be written.
+	bool haltedByPeer = false; ///< Halted because of a peer's halt or evidence, which other routers have too.
+	VersionFault fault = VersionFault::None; ///< Fault for which this router halted the version.
+	TimeUs writePendingSince = 0; ///< Since when this router needs to write a status; 0 if it does not.
+	TimeUs writeAfter = 0;        ///< Earliest time of the next write of the status after a failed one.
+	uint32_t failedWrites = 0;    ///< Consecutive failed writes of the status.
+	TrialEvidence evidence;       ///< Evidence of all routers.
+	TimeReference reference;      ///< Times of the baseline version's answers at this router.
+	uint64_t reached = 0;         ///< Attempts of this router that reached an upstream since the order.
+	uint64_t exposed = 0;     ///< Attempts on the candidate version: counted when chosen, less those unsent.
+	uint64_t credit = 0;      ///< Attempts on the candidate that the router may make above its share.
+	TimeUs storedElapsed = 0; ///< Elapsed time in the progress record of the store, for routers that restart.
+	uint64_t progressRevision = 0; ///< Revision of the progress record in the store; 0 if there is none.
+	TimeUs loggedAt = 0;           ///< When the progress was last logged.
 };
 
-struct TrialBook
+struct TrialTable
 {
 	std::map<std::string, VersionTrial> trials; ///< By service.
-	/// Bound on what an unproved version gets of all requests, from the settings.
+	/// Maximum share of all requests that an unverified version gets, from the settings.
 	double exposureShare = 0.15;
-	uint32_t writer = 0; ///< Of this router's rows of evidence: a hash of its box and start.
-	/// Whether this router may make one attempt above its share of a trial that is ordered now. At most
-	/// `kExposureCredits` routers of a fleet may: a share of few requests is less than one.
+	uint32_t writer = 0; ///< Writer id of this router's evidence rows: a hash of its box and start.
+	/// Whether this router may make one attempt above its share in a trial that is ordered now. At most
+	/// `kMaxCreditedRouters` routers of a fleet may, because the share of few requests is less than one
+	/// attempt.
 	bool credited = true;
 };
 
-/// Routers of a fleet that may go above their share by one attempt. Well below what operators allow above the
-/// bound for all routers together.
-constexpr size_t kExposureCredits = 15;
+/// Routers of a fleet that may exceed their share by one attempt. Well below the number of requests above the
+/// bound that operators allow for all routers together.
+constexpr size_t kMaxCreditedRouters = 15;
 
-/// An order was read. An order that is known stays as it is.
-/// @param[in] _orderedAt When it was written, as far as that is known.
-/// @returns Whether it is news.
-bool takeOrder(TrialBook& _book, const RolloutOrder& _order, uint64_t _revision, TimeUs _orderedAt);
+/// Applies an order from the store. An order that is already known changes nothing.
+/// @param[in] _orderedAt When the order was written, as far as that is known.
+/// @returns Whether the order starts a new trial.
+bool applyOrder(TrialTable& _trials, const RolloutOrder& _order, uint64_t _revision, TimeUs _orderedAt);
 
-/// A status was read. @returns Whether it changed what is believed.
-bool takeStatus(TrialBook& _book, const std::string& _service, const RolloutStatus& _status,
-				uint64_t _revision);
+/// Applies a status from the store. @returns Whether it differed from the state of the trial.
+bool applyStatus(TrialTable& _trials, const std::string& _service, const RolloutStatus& _status,
+				 uint64_t _revision);
 
 // ---- Choice -----------------------------------------------------------------------------------------------
 
-/// Which versions a request may run on.
+/// Versions that a request may run on.
 struct VersionChoice
 {
-	std::string only; ///< Just this version; empty: any but `never`.
-	std::string never;
+	std::string only;     ///< Only this version; if empty, any but `excluded`.
+	std::string excluded; ///< Not this version; empty if none is excluded.
 };
 
-/// What the attempts so far make of a further one.
-enum class TrialUse : uint8_t
+/// Versions that the next attempt of a request may use.
+enum class VersionScope : uint8_t
 {
-	Open,        ///< The version on trial is as good as the other.
-	SettledOnly, ///< Not on an unproved version: it has failed this request, or this is the last attempt.
+	Any,
+	BaselineOnly, ///< No unverified version: it has failed this request, or this is the last attempt.
 };
 
-/// A request's part in a trial.
-struct TrialSubject
+/// Properties of a request that determine its version.
+struct TrialRequest
 {
 	uint64_t hash = 0;      ///< The same for all requests of a session.
-	bool inSession = false; ///< Sessions keep the old version for the first half.
-	TrialUse use = TrialUse::Open;
+	bool inSession = false; ///< Sessions stay on the baseline version for the first half of the trial.
+	VersionScope scope = VersionScope::Any;
 };
 
-/// Chooses for a request.
-VersionChoice chooseVersion(const TrialBook& _book, const std::string& _service, const TrialSubject& _subject,
-							TimeUs _now);
+/// Chooses the version for a request.
+VersionChoice chooseVersion(const TrialTable& _trials, const std::string& _service,
+							const TrialRequest& _request, TimeUs _now);
 
-/// What is left to a request when no upstream of its choice takes it: any version that was not rolled back,
-/// and the one on trial only within the bound on exposure.
-VersionChoice chooseAnyVersion(const TrialBook& _book, const std::string& _service, TimeUs _now);
+/// Fallback when no upstream of the chosen version accepts the request: any version that was not rolled back,
+/// and the one on trial only within the exposure bound.
+VersionChoice chooseFallbackVersion(const TrialTable& _trials, const std::string& _service, TimeUs _now);
 
 /// @returns Whether a version is on trial: ordered, and neither completed nor rolled back.
-bool isOnTrial(const TrialBook& _book, const std::string& _service, const std::string& _version);
+bool isOnTrial(const TrialTable& _trials, const std::string& _service, const std::string& _version);
 
-/// @returns The version that was rolled back, which gets no more requests; empty: none.
-std::string haltedVersion(const TrialBook& _book, const std::string& _service);
+/// @returns The version that was rolled back and gets no more requests; empty if there is none.
+std::string haltedVersion(const TrialTable& _trials, const std::string& _service);
 
 // ---- Counts -----------------------------------------------------------------------------------------------
-// A router keeps the bound whatever becomes of its attempts: one on the version on trial counts from its
-// choice on, any attempt towards the share only once it has reached its upstream.
+// A router keeps the bound whatever the outcome of its attempts: an attempt on the candidate version counts
+// as exposed as soon as it is chosen, while any attempt raises the allowed share only once it has reached its
+// upstream.
 
-/// An attempt's part in a trial, from its choice to its end.
+/// Accounting of one attempt in a trial, from its choice to its end.
 struct TrialAttempt
 {
-	uint64_t orderRevision = 0; ///< Of the trial that ran when the upstream was chosen; 0: none did.
-	bool exposed = false;       ///< On the version on trial.
+	uint64_t orderRevision = 0; ///< Order of the trial that ran when the upstream was chosen; 0 if none ran.
+	bool exposed = false;       ///< Whether the attempt is on the candidate version.
 };
 
-/// An upstream was chosen for an attempt.
-TrialAttempt noteTrialChosen(TrialBook& _book, const std::string& _service, const std::string& _version);
+/// Records that an upstream was chosen for an attempt.
+TrialAttempt recordTrialChosen(TrialTable& _trials, const std::string& _service, const std::string& _version);
 
-/// An attempt has reached its upstream.
-void noteTrialReached(TrialBook& _book, const std::string& _service, const TrialAttempt& _attempt);
+/// Records that an attempt has reached its upstream.
+void recordTrialReached(TrialTable& _trials, const std::string& _service, const TrialAttempt& _attempt);
 
-/// An attempt ended before anything of it was sent.
-void noteTrialUnsent(TrialBook& _book, const std::string& _service, const TrialAttempt& _attempt);
+/// Records that an attempt ended before any of it was sent.
+void recordTrialUnsent(TrialTable& _trials, const std::string& _service, const TrialAttempt& _attempt);
 
 // ---- Evidence ---------------------------------------------------------------------------------------------
 
-/// An attempt's end.
+/// Result of an attempt.
 struct TrialAnswer
 {
 	std::string version;
 	std::string route;
-	std::string upstream; ///< Its id and start.
-	TrialSign sign = TrialSign::Good;
-	AnswerTimes times; ///< Of a good answer.
-	TimeUs sentAt = 0; ///< When the attempt began.
+	std::string upstream; ///< Id and start of the upstream.
+	TrialOutcome outcome = TrialOutcome::Good;
+	AnswerTimes times; ///< Only used for a good answer.
+	TimeUs sentAt = 0; ///< Start of the attempt.
 };
 
-/// Evidence from an attempt's end. @returns Whether it made this router halt the version.
-bool noteTrialAnswer(TrialBook& _book, const std::string& _service, const TrialAnswer& _answer, TimeUs _now);
+/// Records the result of an attempt as evidence. @returns Whether this router halted the version because of
+/// it.
+bool recordTrialAnswer(TrialTable& _trials, const std::string& _service, const TrialAnswer& _answer,
+					   TimeUs _now);
 
-/// What a router tells its neighbours of a trial.
-struct TrialNews
+/// Update on a trial that a router sends to its neighbours.
+struct TrialUpdate
 {
 	std::string service;
 	uint64_t orderRevision = 0;
-	TimeUs elapsed = 0;            ///< Since the order.
-	std::optional<TimeUs> widenIn; ///< Time until the share grows; negative: it began so long ago.
-	std::vector<EvidenceRow> rows; ///< Changed since the neighbour was told last.
+	TimeUs elapsed = 0;                 ///< Time since the order.
+	std::optional<TimeUs> rampStartsIn; ///< Time until the share starts to grow; negative if it has started.
+	std::vector<EvidenceRow> rows;      ///< Rows that changed since the last update to this neighbour.
 };
 
-/// What one neighbour was told of the trials, over one link.
-struct ToldTrials
+/// Position in the updates that were sent to one neighbour over one link.
+struct SentTrials
 {
-	struct Told
+	struct Position
 	{
 		uint64_t orderRevision = 0;
-		uint64_t change = 0; ///< Last change of the evidence that it was told.
+		uint64_t lastChange = 0; ///< Number of the last change of the evidence that was sent.
 	};
-	std::map<std::string, Told> told; ///< By service.
+	std::map<std::string, Position> positions; ///< By service.
 };
 
-/// @returns News of the trials that are running, for a neighbour, which is then told.
-std::vector<TrialNews> trialNewsFor(TrialBook& _book, ToldTrials& _told, uint32_t _neighbour, TimeUs _now);
+/// @returns Updates on the running trials for a neighbour; `_sent` advances past them.
+std::vector<TrialUpdate> trialUpdatesFor(TrialTable& _trials, SentTrials& _sent, uint32_t _neighbour,
+										 TimeUs _now);
 
-/// Takes what a neighbour told. @returns Whether it made this router halt the version.
-bool takeTrialNews(TrialBook& _book, const TrialNews& _news, uint32_t _neighbour, TimeUs _now);
+/// Applies an update from a neighbour. @returns Whether this router halted the version because of it.
+bool applyTrialUpdate(TrialTable& _trials, const TrialUpdate& _update, uint32_t _neighbour, TimeUs _now);
 
 /// @returns The evidence of a trial in one line, for logs.
 std::string describeEvidence(const VersionTrial& _trial);
 
 // ---- Halts ------------------------------------------------------------------------------------------------
 
-/// A halt that one router tells the others, who may not have seen enough of the version.
+/// Halt that a router sends to the others, which may not have enough evidence of their own.
 struct TrialHalt
 {
 	std::string service;
-	uint64_t orderRevision = 0; ///< Of the order that is halted.
+	uint64_t orderRevision = 0; ///< Revision of the halted order.
 };
 
 /// @returns The halts that are not in the store yet.
-std::vector<TrialHalt> unwrittenHalts(const TrialBook& _book);
+std::vector<TrialHalt> unwrittenHalts(const TrialTable& _trials);
 
-/// Another router has halted a version. @returns Whether this one halts it by that.
-bool takeHalt(TrialBook& _book, const TrialHalt& _halt);
+/// Applies a halt from another router. @returns Whether it halted the version at this router.
+bool applyHalt(TrialTable& _trials, const TrialHalt& _halt);
 
 // ---- Time and the store -----------------------------------------------------------------------------------
 
-/// Moves a trial on: the share of a version that the evidence has proved grows, old evidence is forgotten.
-/// @returns Whether the version was proved just now.
+/// Advances a trial: starts the ramp of a version that the evidence has verified, and drops old evidence.
+/// @returns Whether the version was verified by this call.
 bool advanceTrial(VersionTrial& _trial, double _exposureShare, TimeUs _now);
 
-/// @returns The status that this router wants in the store; nothing: what stands there is right. A completion
-/// is only wanted: the trial runs on until the store has it.
-/// @param[in] _calmSince Since when this router has reached the store without an outage.
-std::optional<RolloutStatus> wantedStatus(const VersionTrial& _trial, double _exposureShare,
-										  TimeUs _calmSince, TimeUs _now);
+/// @returns The status that this router needs to write to the store; nothing if the stored one is up to date.
+/// A completion is only requested: the trial continues until the store holds it.
+/// @param[in] _storeReachableSince Since when this router has reached the store without an outage.
+std::optional<RolloutStatus> pendingStatus(const VersionTrial& _trial, double _exposureShare,
+										   TimeUs _storeReachableSince, TimeUs _now);
 
-/// The store holds what this router wanted.
-void noteStatusWritten(VersionTrial& _trial, const RolloutStatus& _status, uint64_t _revision);
+/// Records that the store holds a status that this router wrote.
+void recordStatusWritten(VersionTrial& _trial, const RolloutStatus& _status, uint64_t _revision);
 
-/// A call to write a status failed: the next waits. @param[in] _jitter 0 to 1.
-void noteWriteLost(VersionTrial& _trial, TimeUs _now, double _jitter);
+/// Records a failed write of a status and delays the next one. @param[in] _jitter 0 to 1.
+void recordFailedWrite(VersionTrial& _trial, TimeUs _now, double _jitter);
 
-/// @returns Whether the progress in the store is old enough to be written anew. @param[in] _jitter 0 to 1.
-bool wantsProgress(const VersionTrial& _trial, TimeUs _now, double _jitter);
+/// @returns Whether the progress record in the store is old enough to be rewritten. @param[in] _jitter 0
+/// to 1.
+bool isProgressDue(const VersionTrial& _trial, TimeUs _now, double _jitter);
 
-/// What the store keeps of a trial for routers that start blank.
+/// Progress record in the store, for routers that start without state.
 struct TrialProgress
 {
-	TimeUs elapsed = 0;            ///< Since the order.
-	std::vector<EvidenceRow> rows; ///< Newest, at most `kMostRowsKept`.
+	TimeUs elapsed = 0;            ///< Time since the order.
+	std::vector<EvidenceRow> rows; ///< Newest rows, at most `kMaxStoredRows`.
 };
 
-/// @returns What is to be kept now.
+/// @returns The progress record to store now.
 TrialProgress progressOf(const VersionTrial& _trial, TimeUs _now);
 
-/// The store's record was read or written.
-void takeProgress(VersionTrial& _trial, const TrialProgress& _progress, uint64_t _revision, TimeUs _now);
+/// Applies a progress record that was read from or written to the store.
+void applyProgress(VersionTrial& _trial, const TrialProgress& _progress, uint64_t _revision, TimeUs _now);
 } // namespace spanplank
 
 #endif // SPANPLANK_VERSION_TRIAL_H_HEADER_GUARD
--- a/src/adapters/agent_ratings.cpp
+++ b/src/adapters/agent_ratings.cpp
@@ -41,7 +41,7 @@
 		credits = ExposureCredits{};
 		credits.generation = _feed.generation;
 	}
-	const bool wanted = credits.left == 0 && credits.refused > 0; // Nobody asks here: nothing to take.
+	const bool wanted = credits.remaining == 0 && credits.refused > 0; // Nobody asks here: nothing to take.
 	if (!wanted)
 	{
 		return;
@@ -55,7 +55,7 @@
 	}
 	ledger.version = _version;
 	ledger.generation = _feed.generation;
-	const uint64_t credit = grantable(ledger, _feed.tally, _rollout, _agent.core.init.grantSize);
+	const uint64_t credit = grantableCredits(ledger, _feed.tally, _rollout, _agent.core.init.grantSize);
 	if (credit == 0)
 	{
 		return;
@@ -74,7 +74,7 @@
 	if (result == CasResult::Done)
 	{
 		_feed.grants = seq;
-		credits.left += credit;
+		credits.remaining += credit;
 		credits.refused = 0;
 	}
 }
--- a/src/core/answer_times.cpp
+++ b/src/core/answer_times.cpp
@@ -9,7 +9,7 @@
 {
 /// An answer is slow above so many times what most of the reference take.
 constexpr double kSlowFactor = 4.0;
-constexpr double kMost = 0.75;
+constexpr double kUsualQuantile = 0.75;
 
 struct Measure
 {
@@ -19,31 +19,31 @@
 
 Measure measureOf(TimeKind _kind, const AnswerTimes& _times)
 {
-	return _kind == TimeKind::Head ? Measure{_times.headKind, _times.headMs}
-								   : Measure{_times.paceKind, _times.paceMs};
+	return _kind == TimeKind::FirstToken ? Measure{_times.firstTokenKind, _times.firstTokenMs}
+										 : Measure{_times.timePerTokenKind, _times.timePerTokenMs};
 }
 
-void add(TimeSample& _sample, double _ms, TimeUs _now)
+void add(TimeRing& _ring, double _ms, TimeUs _now)
 {
-	if (_sample.newest.size() < kTimesKept)
+	if (_ring.newest.size() < kMaxTimes)
 	{
-		_sample.newest.push_back({float(_ms), _now});
+		_ring.newest.push_back({float(_ms), _now});
 		return;
 	}
-	_sample.newest[_sample.next] = {float(_ms), _now};
-	_sample.next = (_sample.next + 1) % kTimesKept;
+	_ring.newest[_ring.next] = {float(_ms), _now};
+	_ring.next = (_ring.next + 1) % kMaxTimes;
 }
 
 /// @returns The times of the last moments, or the newest ones where those are few; newest first.
-std::vector<float> compared(const TimeSample& _sample, TimeUs _now)
+std::vector<float> recentTimes(const TimeRing& _ring, TimeUs _now)
 {
 	std::vector<float> times;
-	const size_t count = _sample.newest.size();
-	const size_t newest = count < kTimesKept ? count : _sample.next + kTimesKept;
+	const size_t count = _ring.newest.size();
+	const size_t newest = count < kMaxTimes ? count : _ring.next + kMaxTimes;
 	for (size_t ii = 1; ii <= count; ++ii)
 	{
-		const TimedAnswer& answer = _sample.newest[(newest - ii) % kTimesKept];
-		if (times.size() >= kLeastCompared && _now - answer.at > kCompared)
+		const TimedValue& answer = _ring.newest[(newest - ii) % kMaxTimes];
+		if (times.size() >= kMinCompared && _now - answer.recordedAt > kMaxComparedAge)
 		{
 			break;
 		}
@@ -61,9 +61,9 @@
 }
 } // namespace
 
-void noteTimes(TimeReference& _reference, const AnswerTimes& _times, TimeUs _now)
+void recordTimes(TimeReference& _reference, const AnswerTimes& _times, TimeUs _now)
 {
-	for (const TimeKind kind : {TimeKind::Head, TimeKind::Pace})
+	for (const TimeKind kind : {TimeKind::FirstToken, TimeKind::PerToken})
 	{
 		const Measure measure = measureOf(kind, _times);
 		if (!measure.kind.empty())
@@ -79,15 +79,16 @@
 	const Measure measure = measureOf(_kind, _times);
 	const auto& samples = _reference.samples[size_t(_kind)];
 	const auto found = samples.find(measure.kind);
-	if (measure.kind.empty() || found == samples.end() || found->second.newest.size() < kLeastTimes)
+	if (measure.kind.empty() || found == samples.end() || found->second.newest.size() < kMinTimes)
 	{
 		return std::nullopt;
 	}
-	const std::vector<float> times = compared(found->second, _now);
+	const std::vector<float> times = recentTimes(found->second, _now);
 	if (measure.ms <= double(quantile(times, _quickShare)))
 	{
 		return TimeRank::Quick;
 	}
-	return measure.ms > kSlowFactor * double(quantile(times, kMost)) ? TimeRank::Slow : TimeRank::Usual;
+	return measure.ms > kSlowFactor * double(quantile(times, kUsualQuantile)) ? TimeRank::Slow
+																			  : TimeRank::Usual;
 }
 } // namespace spanplank
--- a/src/core/exposure.cpp
+++ b/src/core/exposure.cpp
@@ -50,29 +50,29 @@
 
 RolloutVerdict judgeRatings(const RatingTally& _tally, const Rollout& _rollout)
 {
-	if (evidenceOfBad(_tally, _rollout) >= -std::log(kFalseHalt))
+	if (evidenceOfBad(_tally, _rollout) >= -std::log(kFalseHaltProbability))
 	{
 		return RolloutVerdict::Halt;
 	}
-	if (evidenceOfGood(_tally, _rollout) >= -std::log(kFalseServe))
+	if (evidenceOfGood(_tally, _rollout) >= -std::log(kFalseServeProbability))
 	{
 		return RolloutVerdict::Serve;
 	}
 	return RolloutVerdict::Undecided;
 }
 
-bool observe(DriftWatch& _watch, const RatingTally& _news, double _badRate, double _haltRate)
+bool observe(DriftWatch& _watch, const RatingTally& _ratings, double _badRate, double _haltRate)
 {
 	constexpr double kSevereRate = 0.5;
 	const double base = clampRate(_badRate);
 	const double halt = clampRate(std::max(_haltRate, base * 1.5));
 	const auto add = [&](double& _sum, double _rate) {
-		_sum = std::max(0.0, _sum + logRatio({_news.good, 0}, base, _rate));
-		_sum = std::max(0.0, _sum + logRatio({0, _news.bad}, base, _rate));
+		_sum = std::max(0.0, _sum + logRatio({_ratings.good, 0}, base, _rate));
+		_sum = std::max(0.0, _sum + logRatio({0, _ratings.bad}, base, _rate));
 	};
 	add(_watch.mild, halt);
 	add(_watch.severe, std::max(kSevereRate, halt));
-	return std::max(_watch.mild, _watch.severe) >= kDriftHeight;
+	return std::max(_watch.mild, _watch.severe) >= kDriftThreshold;
 }
 
 uint64_t exposureAllowance(const RatingTally& _tally, const Rollout& _rollout)
@@ -83,15 +83,15 @@
 	return _rollout.exposure + rated + uint64_t(earned);
 }
 
-uint64_t grantable(const ExposureLedger& _ledger, const RatingTally& _tally, const Rollout& _rollout,
-				   uint64_t _want)
+uint64_t grantableCredits(const ExposureLedger& _ledger, const RatingTally& _tally, const Rollout& _rollout,
+						  uint64_t _requested)
 {
 	if (_rollout.paused || judgeRatings(_tally, _rollout) == RolloutVerdict::Halt)
 	{
 		return 0;
 	}
 	const uint64_t allowance = exposureAllowance(_tally, _rollout);
-	return allowance <= _ledger.granted ? 0 : std::min(_want, allowance - _ledger.granted);
+	return allowance <= _ledger.granted ? 0 : std::min(_requested, allowance - _ledger.granted);
 }
 
 void addGrant(ExposureLedger& _ledger, const std::string& _incarnation, uint64_t _seq, uint64_t _credits)
@@ -102,12 +102,12 @@
 
 bool spendCredit(ExposureCredits& _credits, uint32_t _generation)
 {
-	if (_credits.generation != _generation || _credits.left == 0)
+	if (_credits.generation != _generation || _credits.remaining == 0)
 	{
 		++_credits.refused;
 		return false;
 	}
-	--_credits.left;
+	--_credits.remaining;
 	++_credits.spent;
 	return true;
 }
--- a/src/core/trial_evidence.cpp
+++ b/src/core/trial_evidence.cpp
@@ -11,7 +11,7 @@
 {
 	_sum.good += _counts.good;
 	_sum.bad += _counts.bad;
-	_sum.silent += _counts.silent;
+	_sum.timedOut += _counts.timedOut;
 }
 
 void add(TimeCounts& _sum, const TimeCounts& _counts)
@@ -22,39 +22,41 @@
 }
 
 /// @returns By how much a count has risen.
-uint32_t risen(uint32_t _from, uint32_t _to)
+uint32_t increase(uint32_t _from, uint32_t _to)
 {
 	return _to > _from ? _to - _from : 0;
 }
 
-AnswerCounts risen(const AnswerCounts& _from, const AnswerCounts& _to)
+AnswerCounts increase(const AnswerCounts& _from, const AnswerCounts& _to)
 {
-	return {risen(_from.good, _to.good), risen(_from.bad, _to.bad), risen(_from.silent, _to.silent)};
+	return {increase(_from.good, _to.good), increase(_from.bad, _to.bad),
+			increase(_from.timedOut, _to.timedOut)};
 }
 
-TimeCounts risen(const TimeCounts& _from, const TimeCounts& _to)
+TimeCounts increase(const TimeCounts& _from, const TimeCounts& _to)
 {
-	return {risen(_from.timed, _to.timed), risen(_from.quick, _to.quick), risen(_from.slow, _to.slow)};
+	return {increase(_from.timed, _to.timed), increase(_from.quick, _to.quick),
+			increase(_from.slow, _to.slow)};
 }
 
-EvidenceCounts risen(const EvidenceCounts& _from, const EvidenceCounts& _to)
+EvidenceCounts increase(const EvidenceCounts& _from, const EvidenceCounts& _to)
 {
-	EvidenceCounts more;
-	more.candidate = risen(_from.candidate, _to.candidate);
-	more.settled = risen(_from.settled, _to.settled);
+	EvidenceCounts increases;
+	increases.candidate = increase(_from.candidate, _to.candidate);
+	increases.baseline = increase(_from.baseline, _to.baseline);
 	for (size_t kind = 0; kind < kTimeKinds; ++kind)
 	{
-		more.times[kind] = risen(_from.times[kind], _to.times[kind]);
-		more.settledTimes[kind] = risen(_from.settledTimes[kind], _to.settledTimes[kind]);
+		increases.candidateTimes[kind] = increase(_from.candidateTimes[kind], _to.candidateTimes[kind]);
+		increases.baselineTimes[kind] = increase(_from.baselineTimes[kind], _to.baselineTimes[kind]);
 	}
-	more.askedAt = _to.askedAt & ~_from.askedAt;
-	more.failedAt = _to.failedAt & ~_from.failedAt;
-	return more;
+	increases.answeredUpstreams = _to.answeredUpstreams & ~_from.answeredUpstreams;
+	increases.failedUpstreams = _to.failedUpstreams & ~_from.failedUpstreams;
+	return increases;
 }
 
 bool isEmpty(const AnswerCounts& _counts)
 {
-	return _counts.good == 0 && _counts.bad == 0 && _counts.silent == 0;
+	return _counts.good == 0 && _counts.bad == 0 && _counts.timedOut == 0;
 }
 
 bool isEmpty(const EvidenceCounts& _counts)
@@ -62,41 +64,41 @@
 	const auto timed = [](const TimeCounts& _times) {
 		return _times.timed > 0;
 	};
-	const bool times = std::any_of(_counts.times.begin(), _counts.times.end(), timed) ||
-					   std::any_of(_counts.settledTimes.begin(), _counts.settledTimes.end(), timed);
-	return isEmpty(_counts.candidate) && isEmpty(_counts.settled) && !times && _counts.askedAt == 0 &&
-		   _counts.failedAt == 0;
+	const bool times = std::any_of(_counts.candidateTimes.begin(), _counts.candidateTimes.end(), timed) ||
+					   std::any_of(_counts.baselineTimes.begin(), _counts.baselineTimes.end(), timed);
+	return isEmpty(_counts.candidate) && isEmpty(_counts.baseline) && !times &&
+		   _counts.answeredUpstreams == 0 && _counts.failedUpstreams == 0;
 }
 
 /// The row is told to all neighbours after those that changed before it.
-void tellLater(TrialEvidence& _evidence, const EvidenceKey& _key, EvidenceEntry& _entry)
+void queueChange(TrialEvidence& _evidence, const EvidenceKey& _key, EvidenceEntry& _entry)
 {
-	_evidence.changes.erase(_entry.order);
-	_entry.order = ++_evidence.lastChange;
-	_evidence.changes[_entry.order] = _key;
-	_entry.behind = false;
+	_evidence.changes.erase(_entry.changeNumber);
+	_entry.changeNumber = ++_evidence.lastChange;
+	_evidence.changes[_entry.changeNumber] = _key;
+	_entry.baselinePending = false;
 }
 
 void addTo(TrialEvidence& _evidence, const EvidenceKey& _key, EvidenceEntry& _entry,
-		   const EvidenceCounts& _more)
+		   const EvidenceCounts& _increases)
 {
-	add(_entry.counts, _more);
-	add(_evidence.sums[_key.route][_key.span], _more);
+	add(_entry.counts, _increases);
+	add(_evidence.sums[_key.route][_key.interval], _increases);
 }
 
 /// This router's own rows that only answers of the settled version changed since they were told.
-void tellSettled(TrialEvidence& _evidence, TimeUs _now)
+void queueBaselineRows(TrialEvidence& _evidence, TimeUs _now)
 {
-	if (_now - _evidence.settledToldAt < kSettledEvery)
+	if (_now - _evidence.baselineSentAt < kBaselineSendPeriod)
 	{
 		return;
 	}
-	_evidence.settledToldAt = _now;
+	_evidence.baselineSentAt = _now;
 	for (auto& [key, entry] : _evidence.rows)
 	{
-		if (entry.behind)
+		if (entry.baselinePending)
 		{
-			tellLater(_evidence, key, entry);
+			queueChange(_evidence, key, entry);
 		}
 	}
 }
@@ -110,14 +112,14 @@
 void add(EvidenceCounts& _sum, const EvidenceCounts& _counts)
 {
 	add(_sum.candidate, _counts.candidate);
-	add(_sum.settled, _counts.settled);
+	add(_sum.baseline, _counts.baseline);
 	for (size_t kind = 0; kind < kTimeKinds; ++kind)
 	{
-		add(_sum.times[kind], _counts.times[kind]);
-		add(_sum.settledTimes[kind], _counts.settledTimes[kind]);
+		add(_sum.candidateTimes[kind], _counts.candidateTimes[kind]);
+		add(_sum.baselineTimes[kind], _counts.baselineTimes[kind]);
 	}
-	_sum.askedAt |= _counts.askedAt;
-	_sum.failedAt |= _counts.failedAt;
+	_sum.answeredUpstreams |= _counts.answeredUpstreams;
+	_sum.failedUpstreams |= _counts.failedUpstreams;
 }
 
 void addEvidence(TrialEvidence& _evidence, const EvidenceKey& _key, const EvidenceCounts& _seen, TimeUs _now)
@@ -125,39 +127,39 @@
 	EvidenceEntry& entry = _evidence.rows[_key];
 	addTo(_evidence, _key, entry, _seen);
 	// Where the version was to have all requests, its share of the answers decides: both sides travel alike.
-	if (!isEmpty(_seen.candidate) || isLoaded(_key.span))
+	if (!isEmpty(_seen.candidate) || isFullTraffic(_key.interval))
 	{
-		tellLater(_evidence, _key, entry);
+		queueChange(_evidence, _key, entry);
 		return;
 	}
-	entry.behind = true;
-	tellSettled(_evidence, _now);
+	entry.baselinePending = true;
+	queueBaselineRows(_evidence, _now);
 }
 
-void takeEvidence(TrialEvidence& _evidence, const EvidenceRow& _row, uint32_t _source)
+void applyEvidence(TrialEvidence& _evidence, const EvidenceRow& _row, uint32_t _source)
 {
 	EvidenceEntry& entry = _evidence.rows[_row.key];
-	const EvidenceCounts more = risen(entry.counts, _row.counts);
-	if (isEmpty(more))
+	const EvidenceCounts increases = increase(entry.counts, _row.counts);
+	if (isEmpty(increases))
 	{
 		return;
 	}
-	addTo(_evidence, _row.key, entry, more);
-	entry.source = _source;
-	tellLater(_evidence, _row.key, entry);
+	addTo(_evidence, _row.key, entry, increases);
+	entry.sourceNeighbour = _source;
+	queueChange(_evidence, _row.key, entry);
 }
 
-std::vector<EvidenceRow> evidenceFor(TrialEvidence& _evidence, uint64_t& _told, uint32_t _neighbour,
-									 TimeUs _now)
+std::vector<EvidenceRow> unsentEvidence(TrialEvidence& _evidence, uint64_t& _lastSent, uint32_t _neighbour,
+										TimeUs _now)
 {
-	tellSettled(_evidence, _now);
+	queueBaselineRows(_evidence, _now);
 	std::vector<EvidenceRow> rows;
-	for (auto at = _evidence.changes.upper_bound(_told);
-		 at != _evidence.changes.end() && rows.size() < kMostRowsTold; ++at)
+	for (auto at = _evidence.changes.upper_bound(_lastSent);
+		 at != _evidence.changes.end() && rows.size() < kMaxRowsPerMessage; ++at)
 	{
-		_told = at->first;
+		_lastSent = at->first;
 		const EvidenceEntry& entry = _evidence.rows.at(at->second);
-		if (entry.source == 0 || entry.source != _neighbour)
+		if (entry.sourceNeighbour == 0 || entry.sourceNeighbour != _neighbour)
 		{
 			rows.push_back({at->second, entry.counts});
 		}
@@ -165,62 +167,62 @@
 	return rows;
 }
 
-std::vector<EvidenceRow> newestEvidence(const TrialEvidence& _evidence, size_t _most)
+std::vector<EvidenceRow> newestEvidence(const TrialEvidence& _evidence, size_t _maxRows)
 {
 	std::vector<EvidenceRow> rows;
-	for (auto at = _evidence.changes.rbegin(); at != _evidence.changes.rend() && rows.size() < _most; ++at)
+	for (auto at = _evidence.changes.rbegin(); at != _evidence.changes.rend() && rows.size() < _maxRows; ++at)
 	{
 		rows.push_back({at->second, _evidence.rows.at(at->second).counts});
 	}
 	return rows;
 }
 
-void forgetEvidence(TrialEvidence& _evidence, uint32_t _firstKept)
+void expireEvidence(TrialEvidence& _evidence, uint32_t _firstRetained)
 {
 	for (auto at = _evidence.rows.begin(); at != _evidence.rows.end();)
 	{
-		const bool old = at->first.span < _firstKept;
+		const bool old = at->first.interval < _firstRetained;
 		if (old)
 		{
-			_evidence.changes.erase(at->second.order);
+			_evidence.changes.erase(at->second.changeNumber);
 		}
 		at = old ? _evidence.rows.erase(at) : std::next(at);
 	}
-	for (auto& [route, spans] : _evidence.sums)
+	for (auto& [route, intervals] : _evidence.sums)
 	{
-		spans.erase(spans.begin(), spans.lower_bound(_firstKept));
+		intervals.erase(intervals.begin(), intervals.lower_bound(_firstRetained));
 	}
 }
 
-SpanSums sumRoutes(const TrialEvidence& _evidence)
+IntervalSums sumRoutes(const TrialEvidence& _evidence)
 {
-	SpanSums total;
-	for (const auto& [route, spans] : _evidence.sums)
+	IntervalSums total;
+	for (const auto& [route, intervals] : _evidence.sums)
 	{
-		for (const auto& [span, counts] : spans)
+		for (const auto& [interval, counts] : intervals)
 		{
-			add(total[span], counts);
+			add(total[interval], counts);
 		}
 	}
 	return total;
 }
 
-EvidenceCounts sumSpans(const SpanSums& _spans, uint32_t _from)
+EvidenceCounts sumIntervals(const IntervalSums& _intervals, uint32_t _from)
 {
 	EvidenceCounts total;
-	for (auto at = _spans.lower_bound(_from); at != _spans.end(); ++at)
+	for (auto at = _intervals.lower_bound(_from); at != _intervals.end(); ++at)
 	{
 		add(total, at->second);
 	}
 	return total;
 }
 
-EvidenceCounts sumLoaded(const SpanSums& _spans)
+EvidenceCounts sumFullTraffic(const IntervalSums& _intervals)
 {
 	EvidenceCounts total;
-	for (const auto& [span, counts] : _spans)
+	for (const auto& [interval, counts] : _intervals)
 	{
-		if (isLoaded(span))
+		if (isFullTraffic(interval))
 		{
 			add(total, counts);
 		}
--- a/src/core/version_trial.cpp
+++ b/src/core/version_trial.cpp
@@ -14,51 +14,51 @@
 /// It may be completed from here on: late, as a version that is bad under load or from later on alone can't
 /// be told from a good one before, and stays within the bound on exposure that way; before the deadline by
 /// 0.6 s of 16, what the time of the order is uncertain by.
-constexpr double kCompleteFrom = 0.96;
+constexpr double kMinCompletionPart = 0.96;
 /// Between the proof and the growing share: all routers know by then, so that no session moves to and fro.
-constexpr TimeUs kWidenAfter = 500 * kMsToUs;
+constexpr TimeUs kRampDelay = 500 * kMsToUs;
 /// A router that was cut off waits so long with a completion: others that have halted the version come first.
-constexpr TimeUs kCalmBefore = 2000 * kMsToUs;
+constexpr TimeUs kMinStoreReachable = 2000 * kMsToUs;
 /// After a call to write a status failed, doubled each time: while the store is away, some 30 routers that
 /// had halted a version called it 5 times a second each.
-constexpr TimeUs kWriteRetry = 200 * kMsToUs;
-constexpr uint32_t kMostWriteDoublings = 3;
+constexpr TimeUs kWriteRetryDelay = 200 * kMsToUs;
+constexpr uint32_t kMaxDelayDoublings = 3;
 
-void halt(VersionTrial& _trial, BadSign _sign, bool _heard)
+void halt(VersionTrial& _trial, VersionFault _fault, bool _byPeer)
 {
 	_trial.state = RolloutState::RolledBack;
-	_trial.decided = true;
-	_trial.heard = _heard;
-	_trial.badSign = _sign;
+	_trial.statusUnwritten = true;
+	_trial.haltedByPeer = _byPeer;
+	_trial.fault = _fault;
 }
 
 } // namespace
 
-bool judge(VersionTrial& _trial, bool _heard)
+bool haltIfFaulty(VersionTrial& _trial, bool _byPeer)
 {
 	if (_trial.state != RolloutState::Running)
 	{
 		return false;
 	}
-	const BadSign sign = badSign(_trial.evidence);
-	if (sign == BadSign::None)
+	const VersionFault fault = versionFault(_trial.evidence);
+	if (fault == VersionFault::None)
 	{
 		return false;
 	}
-	halt(_trial, sign, _heard);
+	halt(_trial, fault, _byPeer);
 	return true;
 }
 
-VersionTrial* trialOf(TrialBook& _book, const std::string& _service)
+VersionTrial* trialOf(TrialTable& _trials, const std::string& _service)
 {
-	const auto found = _book.trials.find(_service);
-	return found == _book.trials.end() ? nullptr : &found->second;
+	const auto found = _trials.trials.find(_service);
+	return found == _trials.trials.end() ? nullptr : &found->second;
 }
 
-const VersionTrial* trialOf(const TrialBook& _book, const std::string& _service)
+const VersionTrial* trialOf(const TrialTable& _trials, const std::string& _service)
 {
-	const auto found = _book.trials.find(_service);
-	return found == _book.trials.end() ? nullptr : &found->second;
+	const auto found = _trials.trials.find(_service);
+	return found == _trials.trials.end() ? nullptr : &found->second;
 }
 
 const char* name(RolloutState _state)
@@ -75,18 +75,19 @@
 	return "rolled_back";
 }
 
-bool takeOrder(TrialBook& _book, const RolloutOrder& _order, uint64_t _revision, TimeUs _orderedAt)
+bool applyOrder(TrialTable& _trials, const RolloutOrder& _order, uint64_t _revision, TimeUs _orderedAt)
 {
-	VersionTrial& trial = _book.trials[_order.service];
+	VersionTrial& trial = _trials.trials[_order.service];
 	if (trial.orderRevision >= _revision)
 	{
 		return false;
 	}
 	// The same order in a later era of the store is the one that was known: written again, or in an older
 	// copy.
-	const bool again = trial.orderRevision != 0 && eraOf(_revision) > eraOf(trial.orderRevision) &&
-					   _order.version == trial.order.version && _order.durationMs == trial.order.durationMs;
-	if (again)
+	const bool rewritten = trial.orderRevision != 0 && eraOf(_revision) > eraOf(trial.orderRevision) &&
+						   _order.version == trial.order.version &&
+						   _order.durationMs == trial.order.durationMs;
+	if (rewritten)
 	{
 		trial.orderRevision = _revision;
 		return false;
@@ -95,14 +96,14 @@
 	trial.order = _order;
 	trial.orderRevision = _revision;
 	trial.startedAt = _orderedAt;
-	trial.credit = _book.credited ? 1 : 0;
+	trial.credit = _trials.credited ? 1 : 0;
 	return true;
 }
 
-bool takeStatus(TrialBook& _book, const std::string& _service, const RolloutStatus& _status,
-				uint64_t _revision)
+bool applyStatus(TrialTable& _trials, const std::string& _service, const RolloutStatus& _status,
+				 uint64_t _revision)
 {
-	VersionTrial* trial = trialOf(_book, _service);
+	VersionTrial* trial = trialOf(_trials, _service);
 	if (trial == nullptr || _revision <= trial->statusRevision)
 	{
 		return false;
@@ -120,14 +121,14 @@
 	// stopped.
 	const bool completed = trial->state == RolloutState::Completed && _status.state == RolloutState::Running;
 	trial->state = halted || completed ? trial->state : _status.state;
-	trial->decided = trial->state != _status.state;
+	trial->statusUnwritten = trial->state != _status.state;
 	return changed;
 }
 
-VersionChoice chooseVersion(const TrialBook& _book, const std::string& _service, const TrialSubject& _subject,
-							TimeUs _now)
+VersionChoice chooseVersion(const TrialTable& _trials, const std::string& _service,
+							const TrialRequest& _request, TimeUs _now)
 {
-	const VersionTrial* trial = trialOf(_book, _service);
+	const VersionTrial* trial = trialOf(_trials, _service);
 	if (trial == nullptr)
 	{
 		return {};
@@ -138,41 +139,41 @@
 		return trial->state == RolloutState::Completed ? VersionChoice{version, ""}
 													   : VersionChoice{"", version};
 	}
-	const double share = shareAt(*trial, _book.exposureShare, _subject.inSession, _now);
-	const bool drawn = double(stableHash(version, _subject.hash)) < share * kHashRange;
-	const bool offered = drawn && _subject.use == TrialUse::Open &&
-						 mayExpose(*trial, _book.exposureShare,
-								   _subject.inSession ? ExposureWay::Session : ExposureWay::Single, _now);
+	const double share = candidateShareAt(*trial, _trials.exposureShare, _request.inSession, _now);
+	const bool drawn = double(stableHash(version, _request.hash)) < share * kHashRange;
+	const bool offered = drawn && _request.scope == VersionScope::Any &&
+						 mayExpose(*trial, _trials.exposureShare,
+								   _request.inSession ? ExposureKind::Session : ExposureKind::Single, _now);
 	return offered ? VersionChoice{version, ""} : VersionChoice{"", version};
 }
 
-VersionChoice chooseAnyVersion(const TrialBook& _book, const std::string& _service, TimeUs _now)
+VersionChoice chooseFallbackVersion(const TrialTable& _trials, const std::string& _service, TimeUs _now)
 {
-	const VersionTrial* trial = trialOf(_book, _service);
+	const VersionTrial* trial = trialOf(_trials, _service);
 	if (trial == nullptr || trial->state == RolloutState::Completed)
 	{
 		return {};
 	}
-	const bool open = trial->state == RolloutState::Running &&
-					  mayExpose(*trial, _book.exposureShare, ExposureWay::Single, _now);
-	return {"", open ? "" : trial->order.version};
+	const bool allowed = trial->state == RolloutState::Running &&
+						 mayExpose(*trial, _trials.exposureShare, ExposureKind::Single, _now);
+	return {"", allowed ? "" : trial->order.version};
 }
 
-bool isOnTrial(const TrialBook& _book, const std::string& _service, const std::string& _version)
+bool isOnTrial(const TrialTable& _trials, const std::string& _service, const std::string& _version)
 {
-	const VersionTrial* trial = trialOf(_book, _service);
+	const VersionTrial* trial = trialOf(_trials, _service);
 	return trial != nullptr && trial->state == RolloutState::Running && trial->order.version == _version;
 }
 
-std::string haltedVersion(const TrialBook& _book, const std::string& _service)
+std::string haltedVersion(const TrialTable& _trials, const std::string& _service)
 {
-	const VersionTrial* trial = trialOf(_book, _service);
+	const VersionTrial* trial = trialOf(_trials, _service);
 	return trial != nullptr && trial->state == RolloutState::RolledBack ? trial->order.version : "";
 }
 
-TrialAttempt noteTrialChosen(TrialBook& _book, const std::string& _service, const std::string& _version)
+TrialAttempt recordTrialChosen(TrialTable& _trials, const std::string& _service, const std::string& _version)
 {
-	VersionTrial* trial = trialOf(_book, _service);
+	VersionTrial* trial = trialOf(_trials, _service);
 	if (trial == nullptr)
 	{
 		return {};
@@ -182,9 +183,9 @@
 	return {trial->orderRevision, exposed};
 }
 
-void noteTrialReached(TrialBook& _book, const std::string& _service, const TrialAttempt& _attempt)
+void recordTrialReached(TrialTable& _trials, const std::string& _service, const TrialAttempt& _attempt)
 {
-	VersionTrial* trial = trialOf(_book, _service);
+	VersionTrial* trial = trialOf(_trials, _service);
 	// An attempt that was chosen before the order may have reached its upstream before it, too.
 	if (trial != nullptr && trial->orderRevision == _attempt.orderRevision)
 	{
@@ -192,21 +193,21 @@
 	}
 }
 
-void noteTrialUnsent(TrialBook& _book, const std::string& _service, const TrialAttempt& _attempt)
+void recordTrialUnsent(TrialTable& _trials, const std::string& _service, const TrialAttempt& _attempt)
 {
-	VersionTrial* trial = trialOf(_book, _service);
+	VersionTrial* trial = trialOf(_trials, _service);
 	if (trial != nullptr && trial->orderRevision == _attempt.orderRevision && _attempt.exposed)
 	{
 		--trial->exposed;
 	}
 }
 
-std::vector<TrialHalt> unwrittenHalts(const TrialBook& _book)
+std::vector<TrialHalt> unwrittenHalts(const TrialTable& _trials)
 {
 	std::vector<TrialHalt> halts;
-	for (const auto& [service, trial] : _book.trials)
+	for (const auto& [service, trial] : _trials.trials)
 	{
-		if (trial.state == RolloutState::RolledBack && trial.decided)
+		if (trial.state == RolloutState::RolledBack && trial.statusUnwritten)
 		{
 			halts.push_back({service, trial.orderRevision});
 		}
@@ -214,15 +215,15 @@
 	return halts;
 }
 
-bool takeHalt(TrialBook& _book, const TrialHalt& _halt)
+bool applyHalt(TrialTable& _trials, const TrialHalt& _halt)
 {
-	VersionTrial* trial = trialOf(_book, _halt.service);
+	VersionTrial* trial = trialOf(_trials, _halt.service);
 	if (trial == nullptr || trial->orderRevision != _halt.orderRevision ||
 		trial->state != RolloutState::Running)
 	{
 		return false; // Of another order, or settled.
 	}
-	halt(*trial, BadSign::None, true);
+	halt(*trial, VersionFault::None, true);
 	return true;
 }
 
@@ -232,13 +233,14 @@
 	{
 		return false;
 	}
-	forgetEvidence(_trial.evidence, firstSpan(_trial, _now));
-	const TimeUs growAt = _trial.startedAt + TimeUs(growFrom(_exposureShare) * double(durationOf(_trial)));
-	if (_trial.widenAt != 0 || _now + kWidenAfter < growAt || !isProved(_trial.evidence))
+	expireEvidence(_trial.evidence, firstRetainedInterval(_trial, _now));
+	const TimeUs rampAt =
+		_trial.startedAt + TimeUs(rampStartPart(_exposureShare) * double(durationOf(_trial)));
+	if (_trial.rampStartAt != 0 || _now + kRampDelay < rampAt || !isVerified(_trial.evidence))
 	{
 		return false;
 	}
-	_trial.widenAt = std::max(growAt, _now + kWidenAfter);
+	_trial.rampStartAt = std::max(rampAt, _now + kRampDelay);
 	return true;
 }
 
@@ -247,48 +249,50 @@
 /// @returns Whether a version may be completed. That can't be taken back, and needs more than a halt: all
 /// requests went to it for a while, the evidence of the fleet proves it, and nobody can have halted it
 /// unheard.
-bool isComplete(const VersionTrial& _trial, double _exposureShare, TimeUs _calmSince, TimeUs _now)
+bool isComplete(const VersionTrial& _trial, double _exposureShare, TimeUs _storeReachableSince, TimeUs _now)
 {
-	const bool due = elapsedPart(_trial, _now) >= kCompleteFrom && _trial.widenAt != 0 &&
-					 _now >= triedOnAllFrom(_trial, _exposureShare);
-	return due && _now - _calmSince >= kCalmBefore &&
-		   isProvedForGood(_trial.evidence, firstLately(_trial, _now), elapsedPart(_trial, _now) >= 1.0);
+	const bool isDue = elapsedPart(_trial, _now) >= kMinCompletionPart && _trial.rampStartAt != 0 &&
+					   _now >= fullTrafficTestedAt(_trial, _exposureShare);
+	return isDue && _now - _storeReachableSince >= kMinStoreReachable &&
+		   isVerifiedForCompletion(_trial.evidence, firstRecentInterval(_trial, _now),
+								   elapsedPart(_trial, _now) >= 1.0);
 }
 } // namespace
 
-std::optional<RolloutStatus> wantedStatus(const VersionTrial& _trial, double _exposureShare,
-										  TimeUs _calmSince, TimeUs _now)
+std::optional<RolloutStatus> pendingStatus(const VersionTrial& _trial, double _exposureShare,
+										   TimeUs _storeReachableSince, TimeUs _now)
 {
-	const bool complete =
-		_trial.state == RolloutState::Running && isComplete(_trial, _exposureShare, _calmSince, _now);
-	const RolloutState wanted = complete ? RolloutState::Completed : _trial.state;
-	if (complete || _trial.decided || _trial.statusRevision < _trial.orderRevision)
+	const bool complete = _trial.state == RolloutState::Running &&
+						  isComplete(_trial, _exposureShare, _storeReachableSince, _now);
+	const RolloutState pendingState = complete ? RolloutState::Completed : _trial.state;
+	if (complete || _trial.statusUnwritten || _trial.statusRevision < _trial.orderRevision)
 	{
-		return RolloutStatus{_trial.order.version, wanted};
+		return RolloutStatus{_trial.order.version, pendingState};
 	}
 	return std::nullopt;
 }
 
-void noteStatusWritten(VersionTrial& _trial, const RolloutStatus& _status, uint64_t _revision)
+void recordStatusWritten(VersionTrial& _trial, const RolloutStatus& _status, uint64_t _revision)
 {
 	if (_status.version != _trial.order.version)
 	{
 		return; // Another order came while the call was under way.
 	}
 	_trial.statusRevision = _revision;
-	_trial.writesLost = 0;
+	_trial.failedWrites = 0;
 	if (_status.state == RolloutState::Completed)
 	{
 		_trial.state = _status.state;
 	}
-	_trial.decided = _trial.state != _status.state; // It may have been halted while the call was under way.
+	_trial.statusUnwritten =
+		_trial.state != _status.state; // It may have been halted while the call was under way.
 }
 
-void noteWriteLost(VersionTrial& _trial, TimeUs _now, double _jitter)
+void recordFailedWrite(VersionTrial& _trial, TimeUs _now, double _jitter)
 {
-	const TimeUs pause = kWriteRetry << std::min(_trial.writesLost, kMostWriteDoublings);
+	const TimeUs pause = kWriteRetryDelay << std::min(_trial.failedWrites, kMaxDelayDoublings);
 	_trial.writeAfter = _now + pause / 2 + TimeUs(_jitter * double(pause) / 2.0);
-	++_trial.writesLost;
+	++_trial.failedWrites;
 }
 
 } // namespace spanplank
--- a/src/direct/choose_upstream.cpp
+++ b/src/direct/choose_upstream.cpp
@@ -48,21 +48,21 @@
 {
 /// A bad version fails half of its requests: a stream that it has failed, or that has one attempt left, would
 /// be cut by a second failure there with all its attempts used up.
-TrialUse trialUse(const Serving& _serving)
+VersionScope trialUse(const Serving& _serving)
 {
 	const RequestPlan& plan = _serving.plan;
 	const bool lastOfStream = plan.started && plan.runs + 1 >= plan.maxAttempts;
-	return _serving.failedOnTrial || lastOfStream ? TrialUse::SettledOnly : TrialUse::Open;
+	return _serving.failedOnTrial || lastOfStream ? VersionScope::BaselineOnly : VersionScope::Any;
 }
 } // namespace
 
 UpstreamId pickUpstreamFor(Serving& _serving, UpstreamQuery _query, TimeUs _now)
 {
 	DirectRouter& router = _serving.router;
-	const TrialSubject subject{sessionHash(_serving), !_serving.call.session.empty(), trialUse(_serving)};
+	const TrialRequest subject{sessionHash(_serving), !_serving.call.session.empty(), trialUse(_serving)};
 	const VersionChoice version = chooseVersion(router.trials, _serving.service, subject, _now);
 	_query.version = version.only;
-	_query.notVersion = version.never;
+	_query.notVersion = version.excluded;
 	const std::set<uint32_t> apart =
 		_serving.suspected ? upstreamsOfSuspects(_serving) : std::set<uint32_t>();
 	if (!apart.empty())
@@ -81,9 +81,9 @@
 	{
 		return picked;
 	}
-	const VersionChoice any = chooseAnyVersion(router.trials, _serving.service, _now);
+	const VersionChoice any = chooseFallbackVersion(router.trials, _serving.service, _now);
 	_query.version = any.only;
-	_query.notVersion = any.never;
+	_query.notVersion = any.excluded;
 	return pickDirectUpstream(router.upstreams, _query, _now, router.random);
 }
 
--- a/src/direct/direct_router_p.h
+++ b/src/direct/direct_router_p.h
@@ -116,7 +116,7 @@
 	UpstreamPool pool;
 	std::map<uint32_t, std::shared_ptr<ReachProbe>> probes; ///< By upstream.
 	std::map<uint32_t, std::vector<RecentBreak>> breaks;    ///< By upstream.
-	TrialBook trials;
+	TrialTable trials;
 	SuspectBook suspects;
 	std::map<RequestDigest, StoredSuspect> storedSuspects;
 	std::map<std::string, RetryWindow> retries;   ///< By service.
--- a/src/direct/follow_store.cpp
+++ b/src/direct/follow_store.cpp
@@ -165,7 +165,7 @@
 	for (auto& [service, trial] : _router.trials.trials)
 	{
 		trial.progressRevision = 0;
-		trial.progressSaved = 0; // Written again at once.
+		trial.storedElapsed = 0; // Written again at once.
 	}
 }
 
--- a/src/direct/note_attempt.cpp
+++ b/src/direct/note_attempt.cpp
@@ -31,16 +31,16 @@
 	const double headMs = double(_notes.headAfter) / double(kMsToUs);
 	if (!_serving.plan.stream)
 	{
-		times.paceKind = _notes.headAfter != 0 ? _serving.route->name : "";
-		times.paceMs = headMs;
+		times.timePerTokenKind = _notes.headAfter != 0 ? _serving.route->name : "";
+		times.timePerTokenMs = headMs;
 		return times;
 	}
-	times.headKind = _notes.headAfter != 0 ? _serving.route->name + " " + model : "";
-	times.headMs = headMs;
-	times.paceMs = pauseMs(_notes);
-	if (times.paceMs > 0.0)
+	times.firstTokenKind = _notes.headAfter != 0 ? _serving.route->name + " " + model : "";
+	times.firstTokenMs = headMs;
+	times.timePerTokenMs = pauseMs(_notes);
+	if (times.timePerTokenMs > 0.0)
 	{
-		times.paceKind = _serving.plan.models.empty() ? _serving.route->name : model;
+		times.timePerTokenKind = _serving.plan.models.empty() ? _serving.route->name : model;
 	}
 	return times;
 }
@@ -73,27 +73,27 @@
 {
 	DirectRouter& router = _serving.router;
 	const UpstreamRecord& upstream = _notes.record;
-	TrialSign sign = TrialSign::Good;
+	TrialOutcome sign = TrialOutcome::Good;
 	switch (_end)
 	{
 	case AttemptEnd::Whole:
 	case AttemptEnd::Doubted:
 		break;
 	case AttemptEnd::Failed:
-		sign = TrialSign::Bad;
+		sign = TrialOutcome::Bad;
 		_serving.failedOnTrial =
 			_serving.failedOnTrial || isOnTrial(router.trials, _serving.service, upstream.version);
 		break;
 	case AttemptEnd::Silent:
 	case AttemptEnd::TimeUp:
-		sign = TrialSign::Silent;
+		sign = TrialOutcome::TimedOut;
 		break;
 	default:
 		return; // Crashes, cuts and full upstreams say nothing of a version.
 	}
 	const TrialAnswer answer{upstream.version,          _serving.route->name, lifeName(upstream), sign,
 							 timesOf(_serving, _notes), _notes.begin};
-	if (noteTrialAnswer(router.trials, _serving.service, answer, monotonicNow()))
+	if (recordTrialAnswer(router.trials, _serving.service, answer, monotonicNow()))
 	{
 		logEvent("rollout_halted",
 				 {{"service", _serving.service},
@@ -109,7 +109,7 @@
 {
 	if (_end == AttemptEnd::NotSent || _notes.sentAfter == 0)
 	{
-		noteTrialUnsent(_serving.router.trials, _serving.service, _notes.trial);
+		recordTrialUnsent(_serving.router.trials, _serving.service, _notes.trial);
 		return;
 	}
 	const bool silent = _end == AttemptEnd::Silent || _end == AttemptEnd::TimeUp;
@@ -188,14 +188,14 @@
 
 void noteReached(Serving& _serving, const AttemptNotes& _notes)
 {
-	noteTrialReached(_serving.router.trials, _serving.service, _notes.trial);
+	recordTrialReached(_serving.router.trials, _serving.service, _notes.trial);
 }
 
 void noteWithdrawn(Serving& _serving, const AttemptNotes& _notes)
 {
 	DirectRouter& router = _serving.router;
 	const TimeUs now = monotonicNow();
-	noteTrialUnsent(router.trials, _serving.service, _notes.trial);
+	recordTrialUnsent(router.trials, _serving.service, _notes.trial);
 	noteEnded(router.upstreams, _notes.upstream, _notes.prefillMs, HealthSign::None, now);
 	++router.stats.attempts[kWithdrawn];
 	logAttempt(_serving, _notes, kWithdrawn, now);
--- a/src/direct/peer_links.cpp
+++ b/src/direct/peer_links.cpp
@@ -187,14 +187,14 @@
 }
 } // namespace
 
-std::vector<TrialNews> trialNews(DirectRouter& _router, LinkId _link, uint64_t _ping)
+std::vector<TrialUpdate> trialNews(DirectRouter& _router, LinkId _link, uint64_t _ping)
 {
 	if (_ping % kTrialPings != 0)
 	{
 		return {};
 	}
-	ToldTrials& told = _router.peers.toldTrials[_link.idx];
-	return trialNewsFor(_router.trials, told, neighbourOf(_link.idx), monotonicNow());
+	SentTrials& told = _router.peers.toldTrials[_link.idx];
+	return trialUpdatesFor(_router.trials, told, neighbourOf(_link.idx), monotonicNow());
 }
 
 bool hasParent(const DirectRouter& _router, TimeUs _now)
--- a/src/direct/peer_links_p.h
+++ b/src/direct/peer_links_p.h
@@ -30,7 +30,7 @@
 	PeerTree tree;
 	LoadShare loads;
 	HomeShare homes;
-	std::map<uint32_t, ToldTrials> toldTrials; ///< By link.
+	std::map<uint32_t, SentTrials> toldTrials; ///< By link.
 	/// Last change of the suspects that was told, by link. A new link begins with all.
 	std::map<uint32_t, uint64_t> toldSuspects;
 	ToldUsage toldUsage; ///< To the parent over its link.
@@ -50,7 +50,7 @@
 
 /// @returns News of the trials that run for a neighbour; nothing with most pings, as evidence may be some
 /// 100 ms old.
-std::vector<TrialNews> trialNews(DirectRouter& _router, LinkId _link, uint64_t _ping);
+std::vector<TrialUpdate> trialNews(DirectRouter& _router, LinkId _link, uint64_t _ping);
 
 /// @returns Whether this router need not ask the store: its parent keeps it informed, or it is between two
 /// parents and its newest proof is young.
--- a/src/direct/run_attempt.cpp
+++ b/src/direct/run_attempt.cpp
@@ -91,7 +91,7 @@
 	const AttemptRequest request = requestFor(_serving, _upstream, upstream.address, fields);
 	notes.asCold = isCold(router.upstreams, _upstream, notes.begin);
 	notes.prefillMs = noteSent(router.upstreams, _upstream, _query, notes.begin);
-	notes.trial = noteTrialChosen(router.trials, _serving.service, upstream.version);
+	notes.trial = recordTrialChosen(router.trials, _serving.service, upstream.version);
 	AttemptResult result;
 	AttemptEnd end = AttemptEnd::NotSent;
 	{
--- a/src/direct/store_items_p.h
+++ b/src/direct/store_items_p.h
@@ -66,7 +66,7 @@
 void takePeerHalts(DirectRouter& _router, const std::vector<TrialHalt>& _halts);
 
 /// Takes what another router told of the trials over a link.
-void takePeerTrials(DirectRouter& _router, const std::vector<TrialNews>& _trials, uint32_t _link);
+void takePeerTrials(DirectRouter& _router, const std::vector<TrialUpdate>& _trials, uint32_t _link);
 
 /// @returns The neighbour behind a link, for the sources of evidence: 0 is this router itself.
 inline uint32_t neighbourOf(uint32_t _link)
--- a/src/direct/store_rollouts.cpp
+++ b/src/direct/store_rollouts.cpp
@@ -34,8 +34,9 @@
 		RolloutOrder order = platform::decodeRolloutOrder(_item.value);
 		order.service = afterPrefix(_item.key, platform::kOrderPrefix);
 		// One that starts within a trial may have used its credit before.
-		_router.trials.credited = _router.view.listed && routersBefore(_router.peers.tree) < kExposureCredits;
-		if (!takeOrder(_router.trials, order, _item.revision, likelyWrittenAt(_router, _now)))
+		_router.trials.credited =
+			_router.view.listed && routersBefore(_router.peers.tree) < kMaxCreditedRouters;
+		if (!applyOrder(_router.trials, order, _item.revision, likelyWrittenAt(_router, _now)))
 		{
 			return;
 		}
@@ -78,7 +79,7 @@
 	{
 		const std::string service = afterPrefix(_item.key, platform::kStatusPrefix);
 		const RolloutStatus status = platform::decodeRolloutStatus(_item.value);
-		if (takeStatus(_router.trials, service, status, _item.revision))
+		if (applyStatus(_router.trials, service, status, _item.revision))
 		{
 			logEvent("rollout_status", {{"service", service},
 										{"version", status.version},
@@ -145,7 +146,7 @@
 		++_router.stats.recordsRejected["rollout_progress"];
 		return;
 	}
-	takeProgress(found->second, *progress, _item.revision, _now);
+	applyProgress(found->second, *progress, _item.revision, _now);
 }
 
 namespace
@@ -160,17 +161,17 @@
 /// Added to the jitter of the progress that they write, for the same.
 constexpr double kFollowerJitter = 2.0;
 
-std::optional<RolloutStatus> wantedStatus(const DirectRouter& _router, const VersionTrial& _trial)
+std::optional<RolloutStatus> pendingStatus(const DirectRouter& _router, const VersionTrial& _trial)
 {
-	return wantedStatus(_trial, _router.trials.exposureShare, _router.upstreams.contact.backAt,
-						monotonicNow());
+	return pendingStatus(_trial, _router.trials.exposureShare, _router.upstreams.contact.backAt,
+						 monotonicNow());
 }
 
 /// @returns How long a router that follows another one leaves a write to that. A halt of its own alone can't
 /// wait, a completion not long: its deadline is near.
 TimeUs followerPatience(const VersionTrial& _trial, const RolloutStatus& _status)
 {
-	if (_status.state == RolloutState::RolledBack && !_trial.heard)
+	if (_status.state == RolloutState::RolledBack && !_trial.haltedByPeer)
 	{
 		return 0;
 	}
@@ -180,18 +181,18 @@
 /// Writes what this router has decided; reads the status of a roll-out that it knows nothing of.
 void settleRollout(DirectRouter& _router, const std::string& _service, VersionTrial& _trial)
 {
-	std::optional<RolloutStatus> wanted = wantedStatus(_router, _trial);
+	std::optional<RolloutStatus> wanted = pendingStatus(_router, _trial);
 	const TimeUs now = monotonicNow();
 	if (!wanted)
 	{
-		_trial.wantedAt = 0;
+		_trial.writePendingSince = 0;
 		return;
 	}
-	if (_trial.wantedAt == 0)
+	if (_trial.writePendingSince == 0)
 	{
-		_trial.wantedAt = now + TimeUs(nextUnit(_router.random) * double(kPatienceSpread));
+		_trial.writePendingSince = now + TimeUs(nextUnit(_router.random) * double(kPatienceSpread));
 	}
-	if (isFollowing(_router, now) && now - _trial.wantedAt < followerPatience(_trial, *wanted))
+	if (isFollowing(_router, now) && now - _trial.writePendingSince < followerPatience(_trial, *wanted))
 	{
 		return; // Most likely the others write the same.
 	}
@@ -205,7 +206,7 @@
 	{
 		takeStatusItem(_router, item);
 	}
-	wanted = wantedStatus(_router, _trial); // What was read, or heard meanwhile, may have settled it.
+	wanted = pendingStatus(_router, _trial); // What was read, or heard meanwhile, may have settled it.
 	if (!wanted)
 	{
 		return;
@@ -222,7 +223,7 @@
 								 {"evidence", describeEvidence(_trial)}});
 	if (result == CasResult::Done)
 	{
-		noteStatusWritten(_trial, *wanted, revision);
+		recordStatusWritten(_trial, *wanted, revision);
 	}
 }
 
@@ -232,7 +233,7 @@
 {
 	const TimeUs now = monotonicNow();
 	const double patience = isFollowing(_router, now) ? kFollowerJitter : 0.0;
-	if (!wantsProgress(_trial, now, nextUnit(_router.random) + patience))
+	if (!isProgressDue(_trial, now, nextUnit(_router.random) + patience))
 	{
 		return;
 	}
@@ -242,7 +243,7 @@
 									  encodeProgress(progress), _trial.progressRevision, revision);
 	if (result == CasResult::Done)
 	{
-		takeProgress(_trial, progress, revision, now);
+		applyProgress(_trial, progress, revision, now);
 	}
 }
 } // namespace
@@ -251,7 +252,7 @@
 {
 	for (const TrialHalt& halt : _halts)
 	{
-		if (takeHalt(_router.trials, halt))
+		if (applyHalt(_router.trials, halt))
 		{
 			logEvent("rollout_halt_heard",
 					 {{"service", halt.service}, {"order", std::to_string(halt.orderRevision)}});
@@ -259,12 +260,12 @@
 	}
 }
 
-void takePeerTrials(DirectRouter& _router, const std::vector<TrialNews>& _trials, uint32_t _link)
+void takePeerTrials(DirectRouter& _router, const std::vector<TrialUpdate>& _trials, uint32_t _link)
 {
 	const TimeUs now = monotonicNow();
-	for (const TrialNews& news : _trials)
+	for (const TrialUpdate& news : _trials)
 	{
-		if (takeTrialNews(_router.trials, news, neighbourOf(_link), now))
+		if (applyTrialUpdate(_router.trials, news, neighbourOf(_link), now))
 		{
 			const VersionTrial& trial = _router.trials.trials.at(news.service);
 			logEvent("rollout_halted", {{"service", news.service},
@@ -317,7 +318,7 @@
 			}
 			catch (const Failure& failure)
 			{
-				noteWriteLost(trial, monotonicNow(), nextUnit(_router.random));
+				recordFailedWrite(trial, monotonicNow(), nextUnit(_router.random));
 				logEvent("rollout_not_written", {{"service", service}, {"error", failure.refusal().detail}});
 			}
 		}
--- a/tests/core/exposure_bound_test.cpp
+++ b/tests/core/exposure_bound_test.cpp
@@ -21,7 +21,7 @@
 constexpr uint32_t kAttempts = 4;
 constexpr double kSlack = 30.0; ///< Requests above the bound that operators allow.
 constexpr uint32_t kManyRouters = 103;
-constexpr double kLeastServed = 0.25; ///< Of the requests.
+constexpr double kMinServedShare = 0.25; ///< Of the requests.
 
 /// What becomes of an attempt.
 enum class Fate : uint8_t
@@ -41,7 +41,7 @@
 	uint32_t routers = 3;
 	double perSecond = 100.0; ///< Requests of all routers.
 	Fates fates{};
-	double gone = 0.0;       ///< Chance that no upstream of the settled version is free for a choice.
+	double noneFree = 0.0;   ///< Chance that no upstream of the settled version is free for a choice.
 	TimeUs restartEvery = 0; ///< Between restarts, of one router after the other; 0: none.
 	uint64_t seed = 1;
 };
@@ -51,8 +51,8 @@
 {
 	Plan plan;
 	Random random;
-	std::vector<TrialBook> routers;
-	std::vector<uint32_t> lives;
+	std::vector<TrialTable> routers;
+	std::vector<uint32_t> incarnations;
 	std::multimap<TimeUs, std::function<void()>> events;
 	uint64_t arrived = 0;  ///< Requests at the routers.
 	uint64_t requests = 0; ///< Attempts that reached the service.
@@ -60,7 +60,7 @@
 	double worst = 0.0;    ///< Most of them above the bound, at any time.
 
 	explicit Fleet(const Plan& _plan)
-		: plan(_plan), random{_plan.seed}, routers(_plan.routers), lives(_plan.routers, 0)
+		: plan(_plan), random{_plan.seed}, routers(_plan.routers), incarnations(_plan.routers, 0)
 	{
 		for (uint32_t ii = 0; ii < plan.routers; ++ii)
 		{
@@ -70,23 +70,23 @@
 
 	void begin(uint32_t _router, TimeUs _now)
 	{
-		TrialBook& book = routers[_router];
-		book = {};
-		book.exposureShare = kBound;
-		book.credited = _now == 0 && _router < kExposureCredits;
-		takeOrder(book, {kService, "v2", kDurationMs}, 5, 0);
-		++lives[_router];
+		TrialTable& table = routers[_router];
+		table = {};
+		table.exposureShare = kBound;
+		table.credited = _now == 0 && _router < kMaxCreditedRouters;
+		applyOrder(table, {kService, "v2", kDurationMs}, 5, 0);
+		++incarnations[_router];
 	}
 
-	std::string choose(TrialBook& _book, uint64_t _hash, TimeUs _now)
+	std::string choose(TrialTable& _trials, uint64_t _hash, TimeUs _now)
 	{
-		const TrialSubject subject{_hash, _hash % 2 == 0, TrialUse::Open};
-		const bool isNew = chooseVersion(_book, kService, subject, _now).only == "v2";
-		if (isNew || nextUnit(random) >= plan.gone)
+		const TrialRequest subject{_hash, _hash % 2 == 0, VersionScope::Any};
+		const bool isNew = chooseVersion(_trials, kService, subject, _now).only == "v2";
+		if (isNew || nextUnit(random) >= plan.noneFree)
 		{
 			return isNew ? "v2" : "v1";
 		}
-		return chooseAnyVersion(_book, kService, _now).never.empty() ? "v2" : "";
+		return chooseFallbackVersion(_trials, kService, _now).excluded.empty() ? "v2" : "";
 	}
 
 	Fate fateOf(const std::string& _version)
@@ -106,28 +106,28 @@
 	struct Request
 	{
 		uint32_t router = 0;
-		uint32_t life = 0;
+		uint32_t incarnation = 0;
 		uint64_t hash = 0;
 		uint32_t attempts = 0;
 	};
 
 	void attempt(Request _request, TimeUs _now)
 	{
-		if (_request.attempts++ >= kAttempts || lives[_request.router] != _request.life)
+		if (_request.attempts++ >= kAttempts || incarnations[_request.router] != _request.incarnation)
 		{
 			return;
 		}
-		TrialBook& book = routers[_request.router];
-		const std::string version = choose(book, _request.hash, _now);
+		TrialTable& table = routers[_request.router];
+		const std::string version = choose(table, _request.hash, _now);
 		if (version.empty())
 		{
 			return;
 		}
-		const TrialAttempt trial = noteTrialChosen(book, kService, version);
+		const TrialAttempt trial = recordTrialChosen(table, kService, version);
 		const Fate fate = fateOf(version);
 		if (fate == Fate::Unsent)
 		{
-			noteTrialUnsent(book, kService, trial);
+			recordTrialUnsent(table, kService, trial);
 			attempt(_request, _now);
 			return;
 		}
@@ -135,9 +135,10 @@
 		{
 			arrive(version);
 		}
-		const auto takes = TimeUs(nextUnit(random) * double(kSecond));
-		events.emplace(_now + takes,
-					   [this, _request, trial, fate, at = _now + takes] { end(_request, trial, fate, at); });
+		const auto duration = TimeUs(nextUnit(random) * double(kSecond));
+		events.emplace(_now + duration, [this, _request, trial, fate, at = _now + duration] {
+			end(_request, trial, fate, at);
+		});
 	}
 
 	void arrive(const std::string& _version)
@@ -149,13 +150,13 @@
 
 	void end(Request _request, const TrialAttempt& _trial, Fate _fate, TimeUs _now)
 	{
-		if (lives[_request.router] != _request.life)
+		if (incarnations[_request.router] != _request.incarnation)
 		{
 			return;
 		}
 		if (_fate != Fate::Reset)
 		{
-			noteTrialReached(routers[_request.router], kService, _trial);
+			recordTrialReached(routers[_request.router], kService, _trial);
 		}
 		if (_fate != Fate::Answered)
 		{
@@ -183,7 +184,7 @@
 			{
 				const auto router = uint32_t(nextUnit(random) * plan.routers);
 				++arrived;
-				attempt({router, lives[router], nextRandom(random), 0}, now);
+				attempt({router, incarnations[router], nextRandom(random), 0}, now);
 			}
 		}
 	}
@@ -206,19 +207,19 @@
 		{
 			for (const TimeUs restartEvery : {TimeUs(0), 50 * kMsToUs, 400 * kMsToUs})
 			{
-				for (const double gone : {0.0, 0.5, 1.0})
+				for (const double noneFree : {0.0, 0.5, 1.0})
 				{
 					const double perSecond = std::max(100.0, double(routers));
-					Fleet fleet(Plan{routers, perSecond, fates, gone, restartEvery, ++seed});
+					Fleet fleet(Plan{routers, perSecond, fates, noneFree, restartEvery, ++seed});
 					fleet.run();
 					// Beyond 103 routers the sum of what sessions may go above is within it only where a part
 					// of the requests is served: docs/CAPACITY.md.
-					const bool served = double(fleet.requests) >= kLeastServed * double(fleet.arrived);
+					const bool served = double(fleet.requests) >= kMinServedShare * double(fleet.arrived);
 					EXPECT_TRUE(fleet.worst <= kSlack || (routers > kManyRouters && !served)) << fmt::format(
 						"{} routers, unsent {} reset {} lost {} rejected {}, restarts each {}, "
 						"none free {}: {} of {}, {} above",
-						routers, fates[0], fates[1], fates[2], fates[3], restartEvery, gone, fleet.exposed,
-						fleet.requests, fleet.worst);
+						routers, fates[0], fates[1], fates[2], fates[3], restartEvery, noneFree,
+						fleet.exposed, fleet.requests, fleet.worst);
 				}
 			}
 		}
--- a/tests/core/exposure_test.cpp
+++ b/tests/core/exposure_test.cpp
@@ -93,14 +93,14 @@
 		uint64_t spent = 0; // The naive count: answers given in all.
 		for (const auto& [want, rated] : _steps)
 		{
-			const uint64_t credits = grantable(ledger, tally, rollout, want);
+			const uint64_t credits = grantableCredits(ledger, tally, rollout, want);
 			addGrant(ledger, "agent", ledger.grantSeq["agent"] + 1, credits);
 			spent += credits;
 			const uint64_t allowance = exposureAllowance(tally, rollout);
 			RC_ASSERT(spent <= allowance);
 			RC_ASSERT(tally.good > 0 || spent - tally.bad <= rollout.exposure);
-			const uint64_t news = std::min<uint64_t>(rated % 4, spent - tally.good - tally.bad);
-			tally.good += news;
+			const uint64_t ratings = std::min<uint64_t>(rated % 4, spent - tally.good - tally.bad);
+			tally.good += ratings;
 		}
 	});
 	EXPECT_TRUE(held);
@@ -110,7 +110,7 @@
 {
 	ExposureCredits credits;
 	credits.generation = 1;
-	credits.left = 1;
+	credits.remaining = 1;
 	EXPECT_FALSE(spendCredit(credits, 2));
 	EXPECT_TRUE(spendCredit(credits, 1));
 	EXPECT_FALSE(spendCredit(credits, 1));
--- a/tests/core/reading_pace_test.cpp
+++ b/tests/core/reading_pace_test.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 constexpr double kTrueTokenMs = 0.0053; ///< Of the smallest model on an idle engine.
-constexpr double kHeadMs = 18.0;        ///< Ways and steps before the first token.
+constexpr double kFixedMs = 18.0;       ///< Ways and steps before the first token.
 constexpr double kLongReadMs = 400.0;   ///< A prompt of the largest model, ahead in the queue.
-constexpr double kBusy = 0.7;           ///< Part of the time for which one is being read.
+constexpr double kBusyShare = 0.7;      ///< Part of the time for which one is being read.
 constexpr uint32_t kTokens = 4000;
 
 struct BusyEngine
@@ -35,15 +35,15 @@
 	{
 		for (int ii = 0; ii < _count; ++ii)
 		{
-			const double wait = nextUnit(random) < kBusy ? nextUnit(random) * kLongReadMs : 0.0;
-			const TimeUs latency = TimeUs((kHeadMs + wait + _tokenMs * kTokens) * double(kMsToUs));
+			const double wait = nextUnit(random) < kBusyShare ? nextUnit(random) * kLongReadMs : 0.0;
+			const TimeUs latency = TimeUs((kFixedMs + wait + _tokenMs * kTokens) * double(kMsToUs));
 			const double prefillMs = noteSent(table, engine, query(), 0);
 			noteHead(table, engine, query(), prefillMs, latency);
 			noteEnded(table, engine, 0.0, HealthSign::Good, 0);
 		}
 	}
 
-	double believedMs() const
+	double estimatedMs() const
 	{
 		return prefillMsAt(table, query(), engine, 0);
 	}
@@ -54,8 +54,8 @@
 {
 	BusyEngine engine;
 	engine.answer(200, kTrueTokenMs);
-	EXPECT_LT(engine.believedMs(), 2.0 * kTrueTokenMs * kTokens);
-	EXPECT_GT(engine.believedMs(), 0.5 * kTrueTokenMs * kTokens);
+	EXPECT_LT(engine.estimatedMs(), 2.0 * kTrueTokenMs * kTokens);
+	EXPECT_GT(engine.estimatedMs(), 0.5 * kTrueTokenMs * kTokens);
 }
 
 // An engine that had once been queued at for long was believed slow from then on, as nothing was sent there
@@ -87,7 +87,7 @@
 	BusyEngine engine;
 	engine.answer(200, kTrueTokenMs);
 	engine.answer(400, 4.0 * kTrueTokenMs);
-	EXPECT_GT(engine.believedMs(), 2.0 * kTrueTokenMs * kTokens);
+	EXPECT_GT(engine.estimatedMs(), 2.0 * kTrueTokenMs * kTokens);
 }
 } // namespace
 } // namespace spanplank
--- a/tests/core/trial_fleet_test.cpp
+++ b/tests/core/trial_fleet_test.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 /// Plays random fleets with a bad version.
-void checkBounded(Kind _kind, const std::vector<double>& _shares)
+void checkBounded(FaultKind _kind, const std::vector<double>& _shares)
 {
 	for (const double share : _shares)
 	{
-		for (uint32_t number = 0; number < fleets(); ++number)
+		for (uint32_t number = 0; number < fleetCount(); ++number)
 		{
 			Fleet fleet(drawPlan(_kind, share, number));
 			fleet.run();
@@ -29,36 +29,36 @@
 
 TEST(TrialFleetProperty, AVersionThatFailsStaysBoundedAndIsNeverCompleted)
 {
-	checkBounded(Kind::Errors, {0.2, 0.5});
+	checkBounded(FaultKind::Errors, {0.2, 0.5});
 }
 
 TEST(TrialFleetProperty, ASlowVersionStaysBoundedAndIsNeverCompleted)
 {
-	checkBounded(Kind::Slow, {0.2, 0.5});
+	checkBounded(FaultKind::Slow, {0.2, 0.5});
 }
 
 TEST(TrialFleetProperty, AVersionThatTurnsBadLateStaysBoundedAndIsNeverCompleted)
 {
-	checkBounded(Kind::Late, {0.2, 0.5});
+	checkBounded(FaultKind::Late, {0.2, 0.5});
 }
 
 TEST(TrialFleetProperty, AVersionThatIsBadOnOneRouteStaysBoundedAndIsNeverCompleted)
 {
-	checkBounded(Kind::OneRoute, {0.35, 0.5});
+	checkBounded(FaultKind::OneRoute, {0.35, 0.5});
 }
 
 /// A version that fails only while it has most of the load is seen for the second before its completion
 /// alone: at a share of 0.5 and not below.
 TEST(TrialFleetProperty, AVersionThatIsBadUnderLoadStaysBoundedAndIsNeverCompleted)
 {
-	checkBounded(Kind::UnderLoad, {0.5});
+	checkBounded(FaultKind::UnderLoad, {0.5});
 }
 
 TEST(TrialFleetProperty, AGoodVersionIsCompletedOnceTheTroubleIsOver)
 {
-	for (uint32_t number = 0; number < 3 * fleets(); ++number)
+	for (uint32_t number = 0; number < 3 * fleetCount(); ++number)
 	{
-		Fleet fleet(drawPlan(Kind::Good, 0.0, number));
+		Fleet fleet(drawPlan(FaultKind::Good, 0.0, number));
 		fleet.run();
 		SCOPED_TRACE(describe(fleet.plan));
 		EXPECT_EQ(fleet.status.state, RolloutState::Completed);
@@ -76,7 +76,7 @@
 		fleet.run();
 		SCOPED_TRACE(describe(plan));
 		EXPECT_EQ(fleet.status.state, RolloutState::Completed);
-		EXPECT_LE(fleet.settledAt, kDeadline);
+		EXPECT_LE(fleet.statusWrittenAt, kDeadline);
 	}
 }
 } // namespace
--- a/tests/core/trial_load_test.cpp
+++ b/tests/core/trial_load_test.cpp
@@ -14,31 +14,31 @@
 {
 	constexpr std::array<TimeUs, 4> kLengths = {kSecond, 4 * kSecond, 10 * kSecond, kDeadline};
 	const auto span = [&] {
-		const TimeUs from = momentOf(_random);
-		return Outage{from, from + oneOf(_random, kLengths)};
+		const TimeUs from = drawTime(_random);
+		return Outage{from, from + pickOne(_random, kLengths)};
 	};
 	LoadProfile load;
 	load.surge = span();
-	load.surgeRate = oneOf<double, 4>(_random, {1.0, 2.0, 4.0, 8.0});
-	load.surgePace = oneOf<double, 4>(_random, {1.0, 1.5, 2.0, 3.0});
-	load.slowBoxes = span();
-	load.slowShare = oneOf<double, 3>(_random, {0.0, 0.2, 0.5});
-	load.slowPace = oneOf<double, 3>(_random, {2.0, 3.0, 4.0});
-	load.coldFor = oneOf<TimeUs, 3>(_random, {kSecond, 3 * kSecond, 6 * kSecond});
-	load.coldHead = oneOf<double, 3>(_random, {1.0, 2.0, 3.0});
-	load.firstRoute = oneOf<double, 3>(_random, {1.0 / 3.0, 0.7, 0.95});
-	load.silentMs = oneOf<double, 3>(_random, {1e9, 300.0, 150.0});
+	load.surgeRate = pickOne<double, 4>(_random, {1.0, 2.0, 4.0, 8.0});
+	load.surgeSlowdown = pickOne<double, 4>(_random, {1.0, 1.5, 2.0, 3.0});
+	load.slowUpstreams = span();
+	load.slowShare = pickOne<double, 3>(_random, {0.0, 0.2, 0.5});
+	load.slowdown = pickOne<double, 3>(_random, {2.0, 3.0, 4.0});
+	load.coldFor = pickOne<TimeUs, 3>(_random, {kSecond, 3 * kSecond, 6 * kSecond});
+	load.coldSlowdown = pickOne<double, 3>(_random, {1.0, 2.0, 3.0});
+	load.firstRoute = pickOne<double, 3>(_random, {1.0 / 3.0, 0.7, 0.95});
+	load.timeoutMs = pickOne<double, 3>(_random, {1e9, 300.0, 150.0});
 	return load;
 }
 
-Plan drawLoadedPlan(Kind _kind, double _share, uint32_t _number)
+Plan drawLoadedPlan(FaultKind _kind, double _share, uint32_t _number)
 {
 	Random random{stableHash(fmt::format("load {} {} {}", int(_kind), _share, _number))};
 	Plan plan;
 	plan.kind = _kind;
-	plan.share = _share;
-	plan.routers = oneOf<uint32_t, 4>(random, {3, 4, 12, 23});
-	plan.perSecond = std::max(40.0, plan.routers * oneOf<double, 2>(random, {3.0, 10.0}));
+	plan.badShare = _share;
+	plan.routers = pickOne<uint32_t, 4>(random, {3, 4, 12, 23});
+	plan.perSecond = std::max(40.0, plan.routers * pickOne<double, 2>(random, {3.0, 10.0}));
 	plan.load = drawLoad(random);
 	plan.seed = random.state;
 	return plan;
@@ -50,18 +50,18 @@
 	return fmt::format(
 		"{}; surge {}..{} rate {} pace {}, slow {}..{} share {} pace {}, cold {} x {}, first route "
 		"{}, silent above {} ms",
-		describe(_plan), load.surge.from, load.surge.to, load.surgeRate, load.surgePace, load.slowBoxes.from,
-		load.slowBoxes.to, load.slowShare, load.slowPace, load.coldFor, load.coldHead, load.firstRoute,
-		load.silentMs);
+		describe(_plan), load.surge.from, load.surge.to, load.surgeRate, load.surgeSlowdown,
+		load.slowUpstreams.from, load.slowUpstreams.to, load.slowShare, load.slowdown, load.coldFor,
+		load.coldSlowdown, load.firstRoute, load.timeoutMs);
 }
 
-std::string evidenceOf(const Fleet& _fleet)
+std::string describeFaults(const Fleet& _fleet)
 {
 	std::string text;
 	for (const Router& router : _fleet.routers)
 	{
-		const auto trial = router.book.trials.find(kService);
-		if (trial != router.book.trials.end() && trial->second.badSign != BadSign::None)
+		const auto trial = router.table.trials.find(kService);
+		if (trial != router.table.trials.end() && trial->second.fault != VersionFault::None)
 		{
 			text = describeEvidence(trial->second);
 		}
@@ -70,43 +70,43 @@
 }
 
 /// A service's answers of one moment, at one router.
-void answerAt(TrialBook& _book, const std::string& _version, double _ms, TimeUs _now, int _number)
+void answerAt(TrialTable& _trials, const std::string& _version, double _ms, TimeUs _now, int _number)
 {
 	TrialAnswer answer;
 	answer.version = _version;
 	answer.route = "plain";
 	answer.upstream = fmt::format("u{}", _number % 4);
 	answer.sentAt = _now;
-	answer.times.paceKind = "plain";
-	answer.times.paceMs = _ms * (0.6 + 0.08 * double(_number % 10));
-	noteTrialAnswer(_book, kService, answer, _now);
+	answer.times.timePerTokenKind = "plain";
+	answer.times.timePerTokenMs = _ms * (0.6 + 0.08 * double(_number % 10));
+	recordTrialAnswer(_trials, kService, answer, _now);
 }
 
 /// The settled version answers calmly for 3 s; then all answers take longer, and the new version gets its
 /// first ones. @returns What has become of that.
-RolloutState afterARise(double _newMs)
+RolloutState stateAfterLoadRise(double _newMs)
 {
 	constexpr double kCalmMs = 15.0;
-	constexpr double kRisenMs = 25.0;
+	constexpr double kLoadedMs = 25.0;
 	constexpr TimeUs kRise = 3 * kSecond;
-	TrialBook book;
-	book.exposureShare = kBound;
-	book.writer = 1;
-	takeOrder(book, {kService, "v3", 5000}, 5, 0);
+	TrialTable table;
+	table.exposureShare = kBound;
+	table.writer = 1;
+	applyOrder(table, {kService, "v3", 5000}, 5, 0);
 	for (int ii = 0; ii < 60; ++ii)
 	{
-		answerAt(book, "v2", kCalmMs, TimeUs(ii) * 50 * kMsToUs, ii);
+		answerAt(table, "v2", kCalmMs, TimeUs(ii) * 50 * kMsToUs, ii);
 	}
 	for (int ii = 0; ii < 60; ++ii)
 	{
 		const TimeUs now = kRise + TimeUs(ii) * 33 * kMsToUs;
-		answerAt(book, "v3", _newMs, now, ii);
+		answerAt(table, "v3", _newMs, now, ii);
 		if (ii % 2 == 0)
 		{
-			answerAt(book, "v2", kRisenMs, now, ii / 2);
+			answerAt(table, "v2", kLoadedMs, now, ii / 2);
 		}
 	}
-	return book.trials.at(kService).state;
+	return table.trials.at(kService).state;
 }
 
 // A good version was rolled back as the load rose: rollout_halted version=v3 "slower; plain: new 50 good 0
@@ -116,43 +116,43 @@
 // was judged by the other's calm past.
 TEST(TrialLoad, AVersionThatIsAsQuickAsTheSettledOneInTheSameSecondsIsNotRolledBack)
 {
-	EXPECT_EQ(afterARise(27.0), RolloutState::Running);
+	EXPECT_EQ(stateAfterLoadRise(27.0), RolloutState::Running);
 }
 
 TEST(TrialLoad, AVersionThatTakesThreeTimesAsLongInTheSameSecondsIsRolledBack)
 {
-	EXPECT_EQ(afterARise(75.0), RolloutState::RolledBack);
+	EXPECT_EQ(stateAfterLoadRise(75.0), RolloutState::RolledBack);
 }
 
 /// The settled version answers calmly; the new one proves itself beside it, and then has all requests while
 /// the load rises: a part of its answers takes far longer. @returns What has become of it.
-RolloutState afterTakingAll(bool _settledAnswersOn)
+RolloutState stateAfterFullTraffic(bool _baselineAnswersOn)
 {
 	constexpr double kCalmMs = 15.0;
-	TrialBook book;
-	book.exposureShare = kBound;
-	book.writer = 1;
-	takeOrder(book, {kService, "v2", 5000}, 5, 0);
+	TrialTable table;
+	table.exposureShare = kBound;
+	table.writer = 1;
+	applyOrder(table, {kService, "v2", 5000}, 5, 0);
 	for (int ii = 0; ii < 120; ++ii)
 	{
 		const TimeUs now = TimeUs(ii) * 40 * kMsToUs;
-		answerAt(book, "v1", kCalmMs, now, ii);
+		answerAt(table, "v1", kCalmMs, now, ii);
 		if (ii % 4 == 0)
 		{
-			answerAt(book, "v2", kCalmMs, now, ii / 4);
+			answerAt(table, "v2", kCalmMs, now, ii / 4);
 		}
 	}
-	constexpr TimeUs kAll = 9 * kSecond;
+	constexpr TimeUs kFullTrafficFrom = 9 * kSecond;
 	for (int ii = 0; ii < 40; ++ii)
 	{
-		const TimeUs now = kAll + TimeUs(ii) * 10 * kMsToUs;
-		answerAt(book, "v2", ii % 2 == 0 ? kCalmMs : 8.0 * kCalmMs, now, ii);
-		if (_settledAnswersOn)
+		const TimeUs now = kFullTrafficFrom + TimeUs(ii) * 10 * kMsToUs;
+		answerAt(table, "v2", ii % 2 == 0 ? kCalmMs : 8.0 * kCalmMs, now, ii);
+		if (_baselineAnswersOn)
 		{
-			answerAt(book, "v1", kCalmMs, now, ii);
+			answerAt(table, "v1", kCalmMs, now, ii);
 		}
 	}
-	return book.trials.at(kService).state;
+	return table.trials.at(kService).state;
 }
 
 // A good version was rolled back once it had all requests: rollout_halted often_slow, heads 9 slow of 13 in a
@@ -160,41 +160,41 @@
 // long as the settled version's answers of 5 s before, under another load.
 TEST(TrialLoad, AVersionThatHasAllRequestsIsNotRolledBackByTimesOfTheSettledOneFromBefore)
 {
-	EXPECT_EQ(afterTakingAll(false), RolloutState::Running);
+	EXPECT_EQ(stateAfterFullTraffic(false), RolloutState::Running);
 }
 
 TEST(TrialLoad, AVersionThatIsOftenSlowBesideTheSettledOneIsRolledBack)
 {
-	EXPECT_EQ(afterTakingAll(true), RolloutState::RolledBack);
+	EXPECT_EQ(stateAfterFullTraffic(true), RolloutState::RolledBack);
 }
 
 // The same over random fleets and loads.
 TEST(TrialLoadProperty, AGoodVersionIsNotRolledBackWhateverTheLoadDoes)
 {
-	constexpr uint32_t kTimesFleets = 12;
+	constexpr uint32_t kFleetFactor = 12;
 	uint32_t rolledBack = 0;
-	std::string which;
-	for (uint32_t number = 0; number < kTimesFleets * fleets(); ++number)
+	std::string described;
+	for (uint32_t number = 0; number < kFleetFactor * fleetCount(); ++number)
 	{
-		Fleet fleet(drawLoadedPlan(Kind::Good, 0.0, number));
+		Fleet fleet(drawLoadedPlan(FaultKind::Good, 0.0, number));
 		fleet.run(kDeadline + kDeadline / 4);
 		if (fleet.status.state == RolloutState::RolledBack)
 		{
 			++rolledBack;
-			which += "\n" + describeLoad(fleet.plan) + "\n  " + evidenceOf(fleet);
+			described += "\n" + describeLoad(fleet.plan) + "\n  " + describeFaults(fleet);
 		}
 	}
-	EXPECT_LE(rolledBack, kTimesFleets * fleets() / 1000) << "one of 1,000 at most" << which;
+	EXPECT_LE(rolledBack, kFleetFactor * fleetCount() / 1000) << "one of 1,000 at most" << described;
 }
 
 TEST(TrialLoadProperty, ASlowVersionIsHaltedWithinTheBoundsWhateverTheLoadDoes)
 {
-	constexpr uint32_t kTimesFleets = 4;
+	constexpr uint32_t kFleetFactor = 4;
 	for (const double share : {0.215, 0.35}) // 2.5 and 3.45 times as long.
 	{
-		for (uint32_t number = 0; number < kTimesFleets * fleets(); ++number)
+		for (uint32_t number = 0; number < kFleetFactor * fleetCount(); ++number)
 		{
-			Fleet fleet(drawLoadedPlan(Kind::Slow, share, number));
+			Fleet fleet(drawLoadedPlan(FaultKind::Slow, share, number));
 			fleet.run(kDeadline + kDeadline / 4);
 			SCOPED_TRACE(describeLoad(fleet.plan));
 			EXPECT_NE(fleet.status.state, RolloutState::Completed);
--- a/tests/direct/chosen_upstream_test.cpp
+++ b/tests/direct/chosen_upstream_test.cpp
@@ -241,8 +241,8 @@
 	call("POST", "/once/x");
 	Upstream* chosen = awaitChosen();
 	ASSERT_NE(chosen, nullptr);
-	takeOrder(router.trials, {"app", chosen->version, 60000}, 1, monotonicNow());
-	takeStatus(router.trials, "app", {chosen->version, RolloutState::RolledBack}, 2);
+	applyOrder(router.trials, {"app", chosen->version, 60000}, 1, monotonicNow());
+	applyStatus(router.trials, "app", {chosen->version, RolloutState::RolledBack}, 2);
 	ASSERT_EQ(haltedVersion(router.trials, "app"), chosen->version);
 	ASSERT_TRUE(eventually([this] { return answered; }));
 	EXPECT_EQ(chosen->requests.size(), 0u);
