--- a/src/core/cold_upstreams.cpp
+++ b/src/core/cold_upstreams.cpp
@@ -1,4 +1,4 @@
-/// The parts of a cold upstream's rate, and keeping to one's own.
+/// Division of a cold upstream's rate among routers, and this router's share of it.
 #include "spanplank/cold_upstreams.h"
 
 #include <algorithm>
@@ -7,19 +7,19 @@
 {
 namespace
 {
-/// Owners of a cold upstream. With one, its part is unused while that router has no work; each further one
-/// may send one request more in a bad second.
+/// Maximum number of owners of a cold upstream. With a single owner the rate is unused while that router has
+/// no work; each further owner may add one request in a second.
 constexpr uint32_t kMaxOwners = 4;
 constexpr double kSecondUs = 1000.0 * double(kMsToUs);
 
 struct OwnerPlan
 {
 	uint32_t owners = 0;
-	double perSecond = 0.0; ///< Of each.
+	double perSecond = 0.0; ///< Rate of each owner.
 };
 
-/// With `owners` + 1 routers that take themselves for owners, each sending at most its rate and one more in
-/// some second, the bound must hold.
+/// Chooses the number of owners with the highest total rate. The bound must hold even if `owners` + 1 routers
+/// consider themselves owners and each sends one request more than its rate in some second.
 OwnerPlan planOwners(const ColdService& _service, const ColdBounds& _bounds, size_t _routers)
 {
 	const double bound = _service.perSecond * _bounds.overshoot + _bounds.slack;
--- a/src/core/crash_suspects.cpp
+++ b/src/core/crash_suspects.cpp
@@ -1,5 +1,5 @@
-/// Suspicion of requests under which upstreams ended: how likely chance alone is, and what routers tell each
-/// other.
+/// Detection of requests that crash upstreams: probability of coincidence, refusals, and exchange between
+/// routers.
 #include "spanplank/crash_suspects.h"
 
 #include <algorithm>
@@ -9,23 +9,25 @@
 {
 namespace
 {
-/// A request is refused once chance explains its crashes with less than this.
+/// A request is refused once the probability that its crashes are a coincidence is below this.
 constexpr double kRefusalChance = 2e-4;
-/// The same while upstreams end without it: among many requests at work some meet several of these.
+/// The same while many upstreams end without it: some of many running requests are then hit several times.
 constexpr double kStormRefusalChance = 1e-6;
-/// Upstreams that ended without it in the `kRateSpan` around one of its crashes.
+/// Other crashes in the `kCrashRateWindow` around one of its crashes from which `kStormRefusalChance`
+/// applies.
 constexpr size_t kStormCrashes = 3;
-/// That a request met one crash by chance, at least: three of these are below the bound, two are not.
+/// Minimum probability of one coincidental crash: three of these are below `kRefusalChance`, two are not.
 constexpr double kMinChance = 0.02;
-/// The same once it has had a whole answer; at most, before: what is often at work has been answered.
+/// Minimum after a complete answer, and maximum before one: a request that runs often has been answered
+/// before.
 constexpr double kAnsweredChance = 0.2;
-/// Crashes under other requests within this tell how often upstreams end without this one.
+/// Window in which crashes of other requests determine how often upstreams end without this one.
 constexpr TimeUs kCrashRateWindow = 10000 * kMsToUs;
-/// Upstreams that end within this under copies that ran beside each other may have ended for one reason, such
-/// as the loss of a hall.
+/// Upstreams that end within this time while running concurrent copies may have ended for one cause, such as
+/// the loss of a hall.
 constexpr TimeUs kSameCauseWindow = 150 * kMsToUs;
-/// What routers tell of moments is off by the time that it takes; a copy that began this little before the
-/// end of another one may have followed it.
+/// Tolerance for times from other routers, which are off by the transmission delay. A copy that started less
+/// than this before the end of another one may have been its successor.
 constexpr TimeUs kTimestampSlack = 20 * kMsToUs;
 
 void recordChange(SuspectTable& _suspects, const RequestDigest& _digest, CrashSuspect& _suspect, TimeUs _now)
@@ -49,8 +51,8 @@
 					   [_upstream](const ObservedCrash& _crash) { return _crash.upstream == _upstream; });
 }
 
-/// @returns Whether another request is known to have ended an upstream: one that was at work at more crashes.
-/// A bystander that is refused by mistake does not cover up for the one that ends them.
+/// @returns Whether an upstream's end is attributed to another request that was running at more crashes. A
+/// harmless request that is refused by mistake thus does not protect the one that causes the crashes.
 bool isExplained(const SuspectTable& _suspects, UpstreamKey _upstream, const RequestDigest& _digest,
 				 const CrashSuspect& _suspect)
 {
@@ -62,7 +64,7 @@
 	return _suspects.suspects.at(found->second).crashes.size() > _suspect.crashes.size();
 }
 
-/// @returns How many upstreams ended about then under other requests alone.
+/// @returns The number of upstreams that ended around a point in time while running only other requests.
 size_t otherCrashes(const SuspectTable& _suspects, const RequestDigest& _digest, const CrashSuspect& _suspect,
 					TimeUs _at)
 {
@@ -77,7 +79,7 @@
 	return count;
 }
 
-/// @returns At how many other upstreams it is known to have been at work then: these ended under it later.
+/// @returns The number of other upstreams that were running the request at a crash and ended later.
 double observedCopies(const CrashSuspect& _suspect, const ObservedCrash& _crash)
 {
 	const auto beside = [&_crash](const ObservedCrash& _other) {
@@ -86,7 +88,7 @@
 	return double(std::count_if(_suspect.crashes.begin(), _suspect.crashes.end(), beside));
 }
 
-/// @returns The probability that a harmless request meets such a crash.
+/// @returns The probability that a harmless request is running at such a crash.
 double chanceOfOne(const SuspectTable& _suspects, const RequestDigest& _digest, const CrashSuspect& _suspect,
 				   const ObservedCrash& _crash)
 {
@@ -101,14 +103,14 @@
 	return hasRun ? std::max(chance, kAnsweredChance) : std::clamp(chance, kMinChance, kAnsweredChance);
 }
 
-/// @returns Whether a crash may have had the same reason as an earlier one.
+/// @returns Whether a crash may have the same cause as an earlier one.
 bool mayShareCause(const ObservedCrash& _first, const ObservedCrash& _crash)
 {
 	return _crash.at - _first.at <= kSameCauseWindow &&
 		   _crash.at - _crash.runningFor + kTimestampSlack < _first.at;
 }
 
-/// @returns Whether the suspect came to be refused.
+/// Starts to refuse a suspect if coincidence is unlikely enough. @returns Whether it is newly refused.
 bool refuseIfUnlikely(SuspectTable& _suspects, const RequestDigest& _digest, CrashSuspect& _suspect,
 					  TimeUs _now)
 {
@@ -151,7 +153,7 @@
 	}
 }
 
-/// @returns Whether the crash is news.
+/// @returns Whether the crash was not known yet.
 bool addCrash(SuspectTable& _suspects, CrashSuspect& _suspect, const ObservedCrash& _crash)
 {
 	if (_suspects.crashes.size() < kMaxCrashes)
@@ -175,7 +177,7 @@
 	return kRefusalTime << std::min(_refusals - std::min(_refusals, 1u), kMaxRefusalDoublings);
 }
 
-/// Takes a suspect of a later episode in place of the one that is known. @returns Whether it is refused.
+/// Replaces a suspect by its state in a later epoch. @returns Whether it is refused.
 bool replaceSuspect(SuspectTable& _suspects, const RequestDigest& _digest, CrashSuspect& _known,
 					const CrashSuspect& _received)
 {
@@ -187,7 +189,8 @@
 	return _known.refusals > 0;
 }
 
-/// @returns Whether anything was news. @param[out] _refused It is refused by it.
+/// Merges a received suspect into the known one. @returns Whether that changed anything.
+/// @param[out] _refused Whether the suspect is newly refused.
 bool mergeSuspect(SuspectTable& _suspects, const RequestDigest& _digest, CrashSuspect& _known,
 				  const CrashSuspect& _received, bool& _refused)
 {
@@ -214,7 +217,7 @@
 	return changed;
 }
 
-/// A suspect has come to be refused: it explains crashes that others were suspected of.
+/// Attributes the crashes of a newly refused suspect to it, so that they no longer count against others.
 void recordRefusal(SuspectTable& _suspects, const RequestDigest& _digest,
 				   std::vector<RequestDigest>& _refused)
 {
@@ -224,7 +227,7 @@
 
 void enforceLimits(SuspectTable& _suspects)
 {
-	// Those that are refused stay for longest.
+	// Refused suspects are removed last.
 	for (const bool refusedToo : {false, true})
 	{
 		for (auto at = _suspects.byChange.begin();
@@ -255,8 +258,8 @@
 double chanceOf(const SuspectTable& _suspects, const RequestDigest& _digest, const CrashSuspect& _suspect)
 {
 	double chance = 1.0;
-	double ofMoment = 1.0;                // The most likely of those with one reason counts.
-	const ObservedCrash* first = nullptr; // Of the moment.
+	double ofCause = 1.0;                 // Of crashes with one cause the most likely one counts.
+	const ObservedCrash* first = nullptr; // Of the crashes with one cause.
 	for (const ObservedCrash& crash : _suspect.crashes)
 	{
 		if (isExplained(_suspects, crash.upstream, _digest, _suspect))
@@ -265,11 +268,11 @@
 		}
 		const double one = chanceOfOne(_suspects, _digest, _suspect, crash);
 		const bool same = first != nullptr && mayShareCause(*first, crash);
-		chance *= same ? 1.0 : ofMoment;
-		ofMoment = same ? std::max(ofMoment, one) : one;
+		chance *= same ? 1.0 : ofCause;
+		ofCause = same ? std::max(ofCause, one) : one;
 		first = same ? first : &crash;
 	}
-	return chance * ofMoment;
+	return chance * ofCause;
 }
 
 std::vector<RequestDigest> recordCrash(SuspectTable& _suspects, const RequestDigest& _digest,
@@ -360,7 +363,7 @@
 	}
 	const TimeUs left = refusedFor(_suspects.suspects.at(_digest), _now);
 	return Refusal{ErrorCode::EndsUpstreams, RunState::No, uint32_t(std::max<TimeUs>(1000, left / kMsToUs)),
-				   "upstreams end that run this request"};
+				   "this request ends the upstreams that run it"};
 }
 
 bool beginProbe(SuspectTable& _suspects, const RequestDigest& _digest)
@@ -388,7 +391,8 @@
 	std::vector<RequestDigest> old;
 	for (const auto& [digest, suspect] : _suspects.suspects)
 	{
-		// One that is due and did not come is forgotten as late as a suspect.
+		// A suspect whose probe is due but that was not requested again is kept as long as one that is not
+		// refused.
 		const TimeUs since =
 			suspect.refusals > 0 ? suspect.refusedAt + refusalTime(suspect.refusals) : suspect.changedAt;
 		if (_now - since > kSuspicionTime)
@@ -442,7 +446,7 @@
 	std::vector<RequestDigest> refused;
 	for (const SuspectUpdate& update : _updates)
 	{
-		const CrashSuspect received = withAges(update.suspect, _now); // An age of an age is the moment.
+		const CrashSuspect received = withAges(update.suspect, _now); // Converts ages back to times.
 		const bool isNew = _suspects.suspects.count(update.digest) == 0;
 		CrashSuspect& known = _suspects.suspects[update.digest];
 		bool isRefused = false;
--- a/src/core/hall_evacuation.cpp
+++ b/src/core/hall_evacuation.cpp
@@ -1,4 +1,4 @@
-/// Evacuation orders by hall, each in force until a newer word of the store.
+/// Evacuation orders by hall, each in force until the store has a newer state.
 #include "spanplank/hall_evacuation.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 {
 namespace
 {
-/// @returns Whether the news changed what is believed of the hall.
+/// @returns Whether the state of the hall changed.
 bool setOrder(HallOrders& _orders, const std::string& _hall, bool _evacuated, uint64_t _revision)
 {
 	HallOrder& order = _orders.halls[_hall];
--- a/src/core/home_share.cpp
+++ b/src/core/home_share.cpp
@@ -1,4 +1,4 @@
-/// Passing on of prompt homes along the tree of routers.
+/// Propagation of prompt homes along the tree of routers.
 #include "spanplank/home_share.h"
 
 #include <utility>
@@ -15,7 +15,7 @@
 	}
 }
 
-/// @param[in] _but This neighbour knows already.
+/// @param[in] _except Neighbour that sent the home.
 void enqueueForNeighbours(HomeShare& _share, uint32_t _except, const NewHome& _home)
 {
 	if (_except != kParentNeighbour)
@@ -34,7 +34,7 @@
 
 void collectOwnHomes(HomeShare& _share, UpstreamTable& _table)
 {
-	constexpr uint32_t kNoNeighbour = kParentNeighbour - 1; // Neither the parent nor a link.
+	constexpr uint32_t kNoNeighbour = kParentNeighbour - 1; // Neither the parent nor the link of a child.
 	for (const NewHome& home : _table.newHomes)
 	{
 		enqueueForNeighbours(_share, kNoNeighbour, home);
@@ -47,7 +47,7 @@
 {
 	for (const NewHome& home : _homes)
 	{
-		if (recordPeerHome(_table, home, _now)) // Otherwise it would go round in a ring of routers for ever.
+		if (recordPeerHome(_table, home, _now)) // Otherwise it would circulate forever in a ring of routers.
 		{
 			enqueueForNeighbours(_share, _from, home);
 		}
--- a/src/core/load_share.cpp
+++ b/src/core/load_share.cpp
@@ -1,4 +1,4 @@
-/// Sums of loads along the tree of routers, kept up by their changes.
+/// Sums of loads along the tree of routers, updated incrementally.
 #include "spanplank/load_share.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 {
 namespace
 {
-/// Sums with fewer upstreams are not searched for those that are gone.
+/// Sums with fewer upstreams are not pruned.
 constexpr size_t kMinPruneSize = 64;
 
 void add(LoadCount& _sum, const LoadCount& _load, int32_t _sign)
@@ -23,7 +23,7 @@
 	return found == _table.end() ? LoadCount{} : found->second;
 }
 
-/// Keeps no upstream without a load, so that tables stay as small as the work is.
+/// Stores no entries without load, so that the table only holds upstreams with work.
 void setValue(LoadTable& _table, UpstreamKey _upstream, const LoadCount& _load)
 {
 	if (_load == LoadCount{})
@@ -73,7 +73,7 @@
 	}
 }
 
-/// The sum but for what the neighbour has itself.
+/// @returns The sum without the neighbour's own load.
 LoadCount othersLoad(const LoadShare& _share, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
 {
 	LoadCount others = valueOf(_share.sum, _upstream);
@@ -81,7 +81,7 @@
 	return others;
 }
 
-/// What a neighbour is told.
+/// @returns The load to send to a neighbour.
 LoadCount loadToSend(const LoadShare& _share, const NeighbourLoad& _neighbour, UpstreamKey _upstream)
 {
 	if (_share.isolated && &_neighbour == &_share.parent)
@@ -96,7 +96,7 @@
 	return load;
 }
 
-/// An upstream without a load stays in the sum until all were told so.
+/// An upstream without load remains in the sum until this has been sent to all neighbours.
 bool isSentToAll(const LoadShare& _share, UpstreamKey _upstream)
 {
 	for (const auto& [link, child] : _share.children)
@@ -126,7 +126,7 @@
 void updateOwnLoad(LoadShare& _share, const UpstreamTable& _table)
 {
 	_share.own.counted = true;
-	LoadTable ended = _share.own.loads; // What is left of it has no entry, or nothing in flight any more.
+	LoadTable ended = _share.own.loads; // What remains after the loop has no entry or nothing in flight.
 	for (const auto& [idx, entry] : _table.entries)
 	{
 		if (entry.inFlight > 0)
--- a/src/core/prompt_choice.cpp
+++ b/src/core/prompt_choice.cpp
@@ -1,4 +1,4 @@
-/// The choice of an upstream by the parts of a prompt, with the measured constants behind it.
+/// Choice of an upstream by the parts of a prompt, and the constants of its cost model.
 #include "prompt_choice_p.h"
 
 #include <algorithm>
@@ -8,52 +8,54 @@
 {
 namespace
 {
-constexpr double kJitterMs = 0.1; ///< Between equal upstreams chance decides.
-/// Waiting that another hall counts as in the choice, as its bytes are priced: about what reading a mean
-/// shared part once costs at the smallest model. At 20 ms a deployment with dear bytes is worth 0.670 on
-/// troubled and 0.786 on quiet days, at 500 ms 0.683 and 0.803 (mean of 20 and 4 plays).
+constexpr double kJitterMs = 0.1; ///< Randomizes the choice between equal upstreams.
+/// Cost of sending a prompt to another hall, as waiting time, since traffic between halls is priced. It
+/// equals about one prefill of an average shared part by the smallest model. In a deployment with expensive
+/// traffic 20 ms score 0.670 on days with faults and 0.786 on quiet days, 500 ms score 0.683 and 0.803 (mean
+/// of 20 and 4 runs).
 constexpr double kOtherHallMs = 500.0;
-/// Other routers send to the same homes: while they don't tell what, own waiting work stands for more.
+/// Other routers send to the same homes. Without their reports this router's own queued work is multiplied by
+/// this factor to account for theirs.
 constexpr double kPeerLoadFactor = 2.0;
-/// What each running stream adds to the steps of the others until a first token: all streams, or this
-/// router's alone where the others' are not known.
+/// Time that each running stream of any router adds to a time to first token.
 constexpr double kStreamMs = 0.3;
+/// The same for each stream of this router if the streams of the others are unknown.
 constexpr double kDecodeMs = 1.5;
-/// A prompt's reading also delays those that come after it: it counts this many times in the choice. Measured
-/// beside 2 and 4 once the time for a token followed idle engines: mean worth of the troubled days of a
-/// deployment with heavy second runs 0.712 at 4, 0.714 at 8, its worst class 0.801 and 0.813 (two plays of
-/// each).
+/// Weight of a prompt's prefill time in its cost, since it also delays the prompts behind it. In a deployment
+/// with expensive second runs, days with faults score 0.712 at 4 and 0.714 at 8, and the worst class 0.801
+/// and 0.813 (two runs of each, with an estimate of the time per token that follows idle engines). The value
+/// 2 was compared as well.
 constexpr double kPrefillWeight = 8.0;
-constexpr double kMinPrefillMs = 0.1;       ///< Of a prompt, so that a token never takes no time.
-constexpr double kInitialMsPerToken = 0.02; ///< Reading time of a prompt token before any was measured.
-constexpr uint32_t kMinSampleTokens = 1000; ///< Shorter prompts say little of the time for a token.
-/// The time for a token follows the quickest answers: all others waited for prompts before them, and say how
-/// busy the upstreams are. With 0.05 and 0.15, and without `kHeadStartMs`, a token of the smallest model was
-/// believed to take 0.04 ms on a quiet and 0.15 ms on a busy day, where an idle engine takes 0.005: waits
-/// were expected that were none, and prompts queued for an engine that keeps their parts longer than reading
-/// them again takes. Mean worth of the troubled days of a deployment with heavy second runs 0.699, with these
-/// 0.705, its quiet day 0.821 and 0.823 (two plays of each).
+constexpr double kMinPrefillMs = 0.1;       ///< Per prompt; keeps the time per token above 0.
+constexpr double kInitialMsPerToken = 0.02; ///< Prefill time per token before the first sample.
+constexpr uint32_t kMinSampleTokens = 1000; ///< Shorter prompts give inaccurate estimates.
+/// Weight of a sample above or below the estimate. The estimate follows the fastest answers, since all others
+/// include time in the queue. With 0.05 and 0.15, and without `kFixedFirstTokenMs`, the estimate for the
+/// smallest model was 0.04 ms on a quiet and 0.15 ms on a busy day, while an idle engine takes 0.005 ms.
+/// Prompts then queued for an engine that had their parts cached for longer than another prefill takes, to
+/// avoid waits that did not exist. In a deployment with expensive second runs days with faults score 0.699
+/// with those values and 0.705 with these, a quiet day 0.821 and 0.823 (two runs of each).
 constexpr double kMsPerTokenRise = 0.01;
 constexpr double kMsPerTokenFall = 0.3;
-constexpr double kFixedFirstTokenMs =
-	20.0; ///< Of a head's time, that does not depend on the prompt: ways and steps.
-/// Parts of the shared tokens that the first upstreams of the hash order likely keep, though this router has
-/// not sent them there lately: all routers prefer the first, and go to the second when that is loaded.
+/// Part of a time to first token that does not depend on the prompt: network and decoding steps.
+constexpr double kFixedFirstTokenMs = 20.0;
+/// Shares of a prompt's shared tokens that the first upstreams of the hash order are presumed to have cached,
+/// even if this router has not sent them there lately. All routers prefer the first and use the next ones
+/// when it is loaded.
 constexpr size_t kPresumedHomes = 3;
 constexpr std::array<double, kPresumedHomes> kPresumedShares = {0.95, 0.8, 0.5};
-constexpr TimeUs kHomeLifetime = 15000 * kMsToUs; ///< After this pause a part has likely given way to others.
-/// The others remember a part's home for `kHomeLifetime`: telling it again sooner than this is no news.
+constexpr TimeUs kHomeLifetime = 15000 * kMsToUs; ///< An unused part is likely evicted after this time.
+/// A home is sent to the other routers again only after this time; they keep it for `kHomeLifetime`.
 constexpr TimeUs kResendAfter = 3000 * kMsToUs;
-constexpr size_t kMaxHomesPerPart =
-	32;                             ///< Of one part; the first parts of prompts are kept nearly everywhere.
-constexpr size_t kMaxParts = 20000; ///< Remembered; about 100 bytes each.
+constexpr size_t kMaxHomesPerPart = 32; ///< The first parts of prompts are cached on nearly all upstreams.
+constexpr size_t kMaxParts = 20000;     ///< About 100 bytes each.
 
 uint64_t hashRank(const UpstreamEntry& _entry, uint64_t _part)
 {
 	return stableHash(_entry.record.id, _part);
 }
 
-/// The first upstreams in the order of a prompt's shared parts: routers agree on it without a word.
+/// The first upstreams in the hash order of a prompt's shared parts, which is the same on all routers.
 using HomeOrder = std::array<uint32_t, kPresumedHomes>;
 
 HomeOrder homeOrder(const UpstreamTable& _table, const std::vector<Candidate>& _candidates,
@@ -82,7 +84,8 @@
 	return order;
 }
 
-/// @returns The part of shared tokens that an upstream is presumed to keep, by its place in the order.
+/// @returns The share of shared tokens that an upstream is presumed to have cached, by its place in the
+/// order.
 double presumedShare(const HomeOrder& _order, uint32_t _upstream)
 {
 	for (size_t place = 0; place < kPresumedHomes; ++place)
@@ -95,14 +98,14 @@
 	return 0.0;
 }
 
-/// @returns Reading time of a prompt token in milliseconds.
+/// @returns Prefill time of one prompt token in milliseconds.
 double msPerToken(const UpstreamTable& _table, const UpstreamQuery& _query)
 {
 	const auto found = _table.prefillEstimates.find(serviceModelKey(_query));
 	return found == _table.prefillEstimates.end() ? kInitialMsPerToken : found->second.msPerToken;
 }
 
-/// The first samples count as a mean would count them, so that a router that has just started soon knows.
+/// Averages the first samples with equal weights, so that the estimate of a new router converges quickly.
 void updateEstimate(PrefillEstimate& _estimate, double _sample)
 {
 	const double early = 1.0 / double(++_estimate.samples);
@@ -129,13 +132,13 @@
 		   _now - found->second.front().at < kHomeLifetime;
 }
 
-/// @returns Tokens of the prompt that an upstream likely keeps. @param[in] _presumed Part of the shared
-/// tokens of which this router does not know better.
+/// @returns Tokens of the prompt that an upstream has likely cached.
+/// @param[in] _presumed Cached share of parts whose homes are not recorded on this router.
 double cachedTokens(const UpstreamTable& _table, const UpstreamQuery& _query, uint32_t _upstream,
 					double _presumed, TimeUs _now)
 {
 	double cached = 0.0;
-	bool prefixCached = true; // An engine keeps a part only together with all parts before it.
+	bool prefixCached = true; // An engine caches a part only together with all parts before it.
 	for (const SharedPart& part : _query.shared)
 	{
 		prefixCached = prefixCached && wasReadAt(_table, part.hash, _upstream, _now);
@@ -167,11 +170,11 @@
 	return _entry.prefillMs + _entry.others.prefillMs + kStreamMs * streams;
 }
 
-/// What a request costs at an upstream.
+/// Cost of a prompt at an upstream.
 struct PromptCost
 {
 	double firstTokenMs = 0.0; ///< Expected time to the first token.
-	double cost = 0.0;         ///< With what its reading costs those that come after it.
+	double cost = 0.0;         ///< Includes the delay of the prompts behind it.
 	bool timely = true;
 };
 
@@ -184,14 +187,15 @@
 	return _one.timely ? _one.cost < _other.cost : _one.firstTokenMs < _other.firstTokenMs;
 }
 
-/// @param[in] _before When a part was last read at an upstream, as far as this router knows; 0: never.
+/// @returns Whether a home should be sent to the other routers.
+/// @param[in] _before When this router last recorded that home; 0 if never.
 bool isDueForPeers(TimeUs _before, TimeUs _now)
 {
 	return _before == 0 || _now - _before > kResendAfter;
 }
 
-/// Remembers that a shared part of a prompt is read at an upstream now.
-/// @returns When it was last read there, as far as this router knows; 0: never.
+/// Records that an upstream reads a shared part of a prompt now.
+/// @returns When this router recorded that home before; 0 if never.
 TimeUs recordHome(UpstreamTable& _table, uint64_t _part, uint32_t _upstream, TimeUs _now)
 {
 	if (_table.homes.size() >= kMaxParts && _table.homes.count(_part) == 0)
--- a/src/core/upstream_registrations.cpp
+++ b/src/core/upstream_registrations.cpp
@@ -1,4 +1,4 @@
-/// Registrations of upstreams: when a life of one begins, goes and is forgotten.
+/// Registrations of upstreams: start, end and removal of their incarnations.
 #include "upstream_registrations_p.h"
 
 #include <fmt/format.h>
@@ -13,7 +13,7 @@
 {
 constexpr TimeUs kRemoveAfter = 30000 * kMsToUs;
 
-/// An upstream is taken for cold until a moment, if its service has a bound for that.
+/// Treats an upstream as cold until a point in time if its service limits the rate of cold upstreams.
 void markColdIfLimited(const UpstreamTable& _table, UpstreamEntry& _entry, ColdCause _cause, TimeUs _until)
 {
 	if (coldServiceOf(_table, _entry.record.service) != nullptr)
@@ -22,7 +22,7 @@
 	}
 }
 
-/// What is known of an upstream ends with its life. Its entry stays for what is still in flight there.
+/// Ends the current incarnation of an id. Its entry remains for the requests still in flight there.
 void endIncarnation(UpstreamTable& _table, const std::string& _id, TimeUs _now)
 {
 	const uint32_t idx = _table.idxOfId.at(_id);
@@ -64,8 +64,8 @@
 	}
 	const UpstreamRecord& before = _table.entries.at(known.idx).record;
 	const uint64_t startedAtMs = before.startedAtMs;
-	const bool firstReported =
-		startedAtMs == 0 && !before.draining; // One that leaves does not begin to tell it.
+	// A draining upstream does not start to report its start time.
+	const bool firstReported = startedAtMs == 0 && !before.draining;
 	if (startedAtMs == _record.startedAtMs || firstReported || _record.startedAtMs == 0)
 	{
 		return IncarnationOrder::Same;
@@ -96,10 +96,9 @@
 		++_table.nextIdx;
 	}
 	UpstreamEntry& entry = _table.entries[known->second];
-	// The same record read again, by a list, says nothing new: its upstream may be warm by now.
+	// A record that a list returns again does not extend the cold time: the upstream may be warm by now.
 	const bool isNews = _record.revision == 0 || _record.revision != entry.record.revision;
-	const bool draining =
-		entry.record.draining; // An upstream that leaves does not come back, but by a new start.
+	const bool draining = entry.record.draining; // Draining ends only with a new incarnation.
 	const uint64_t startedAtMs = _record.startedAtMs != 0 ? _record.startedAtMs : entry.record.startedAtMs;
 	entry.record = _record;
 	entry.record.startedAtMs = startedAtMs;
@@ -173,7 +172,8 @@
 			!entry.registered && entry.inFlight == 0 && _now - entry.unregisteredAt > kRemoveAfter;
 		if (gone)
 		{
-			eraseIfMapped(_table.idxOfId, entry.record.id, at->first); // Another life may have the id by now.
+			// A newer incarnation may use the id by now.
+			eraseIfMapped(_table.idxOfId, entry.record.id, at->first);
 			eraseIfMapped(_table.idxOfKey, entry.key, at->first);
 		}
 		at = gone ? _table.entries.erase(at) : std::next(at);
--- a/src/core/upstream_table.cpp
+++ b/src/core/upstream_table.cpp
@@ -1,5 +1,5 @@
-/// Health and choice of upstreams. Registrations are in `upstream_lives.cpp`, the choice by the parts of a
-/// prompt in `prompt_choice.cpp`.
+/// Health and choice of upstreams. Registrations are in `upstream_registrations.cpp`, the choice by the parts
+/// of a prompt in `prompt_choice.cpp`.
 #include "spanplank/upstream_table.h"
 
 #include <algorithm>
@@ -12,19 +12,22 @@
 {
 namespace
 {
-constexpr double kFailureDecay = 0.85; ///< Weight of the past in a failure rate; about 6 attempts count.
-constexpr double kLatencyDecay = 0.9;  ///< Weight of the past in a latency.
-constexpr double kServiceDecay = 0.98; ///< Of a service's latency, which many upstreams feed.
-/// Above it an upstream is ejected; services fail up to 0.15 by themselves.
+constexpr double kFailureDecay = 0.85; ///< Weight of the previous failure rate; averages about 6 attempts.
+constexpr double kLatencyDecay = 0.9;  ///< Weight of the previous slowness of an upstream.
+/// Weight of a service's previous latency; close to 1 as many upstreams update it.
+constexpr double kServiceDecay = 0.98;
+/// Failure rate above which an upstream is ejected. Services have failure rates of up to 0.15 of their own.
 constexpr double kEjectFailureRate = 0.4;
-constexpr uint32_t kMinEjectSamples = 5;          ///< Attempts before a rate is believed.
-constexpr uint32_t kTimeoutsToEject = 2;          ///< Silent attempts in a row that eject.
-constexpr uint32_t kFailuresToEject = 4;          ///< Failed attempts in a row that eject.
-constexpr TimeUs kFirstEjection = 1000 * kMsToUs; ///< First ejection; each further one doubles it.
+constexpr uint32_t kMinEjectSamples = 5; ///< Attempts before the failure rate is used.
+constexpr uint32_t kTimeoutsToEject = 2; ///< Consecutive timeouts that eject an upstream.
+constexpr uint32_t kFailuresToEject = 4; ///< Consecutive failures that eject an upstream.
+/// Length of the first ejection; each further one doubles it.
+constexpr TimeUs kFirstEjection = 1000 * kMsToUs;
 constexpr uint32_t kMaxEjectionDoublings = 3;
-constexpr double kFailureWeight = 4.0; ///< Times the share of failed attempts, as a part of the load or wait.
-constexpr double kLoadJitter = 0.01;   ///< Requests in flight; between equal upstreams chance decides.
-constexpr double kOtherHallLoad = 1.0; ///< Requests in flight that another hall counts as.
+constexpr double kFailureWeight = 4.0; ///< Relative increase of load or wait at a failure rate of 1.
+/// In requests in flight; randomizes the choice between equal upstreams.
+constexpr double kLoadJitter = 0.01;
+constexpr double kOtherHallLoad = 1.0; ///< Penalty for another hall, in requests in flight.
 
 bool matches(const UpstreamEntry& _entry, const UpstreamQuery& _query, uint32_t _idx)
 {
@@ -36,7 +39,7 @@
 		   isAllowed(_query.limit, _entry.record.hall);
 }
 
-/// @returns Whether an upstream whose registration lapsed may still return, within a share of the bound.
+/// @returns Whether a lapsed upstream may still register again, within a share of the drain bound.
 bool mayReregister(const UpstreamTable& _table, const UpstreamEntry& _entry, double _share, TimeUs _now)
 {
 	const TimeUs grace = std::min(kReregistrationGrace, TimeUs(double(_table.drainBound) * _share));
@@ -48,7 +51,7 @@
 	return _entry.health.ejectedUntil > _now;
 }
 
-/// An upstream whose ejection is over gets one request that may be repeated; the others wait for its outcome.
+/// An upstream whose ejection is over gets one repeatable request as a probe, and no other until that ends.
 bool mayProbe(const UpstreamEntry& _entry, bool _repeatable)
 {
 	const bool returning = _entry.health.ejections > 0;
@@ -86,7 +89,7 @@
 	_health.samples = 0;
 }
 
-/// Compares an upstream with its service.
+/// Updates the mean latency of the service and the upstream's ratio to it.
 void updateSlowness(UpstreamTable& _table, UpstreamEntry& _entry, const std::string& _kind, TimeUs _latency)
 {
 	double& mean = _table.latencyOf[_kind];
@@ -95,7 +98,7 @@
 	_entry.health.slowness = _entry.health.slowness * kLatencyDecay + ratio * (1.0 - kLatencyDecay);
 }
 
-/// As long as after a start.
+/// Treats an upstream as cold for as long as after a start.
 void markPossiblyRestarted(const UpstreamTable& _table, UpstreamEntry& _entry, ColdCause _cause, TimeUs _now)
 {
 	const ColdService* service = coldServiceOf(_table, _entry.record.service);
@@ -105,9 +108,9 @@
 	}
 }
 
-/// An upstream that takes no connection may be starting again. Its registration tells, but later than it
-/// takes the first connection, or not at all while the store is away: it is cold until it has been reachable
-/// for as long as a start takes.
+/// An upstream that accepts no connection may be restarting. Its new registration may arrive only after its
+/// first connection, or not at all while the store is unreachable. It therefore counts as cold until it has
+/// been reachable for as long as a start takes.
 void updateReachability(const UpstreamTable& _table, UpstreamEntry& _entry, HealthOutcome _outcome,
 						TimeUs _now)
 {
@@ -182,7 +185,7 @@
 	{
 		return lapsed;
 	}
-	return healthy.empty() ? ejected : healthy; // With all of them ejected, any is better than none.
+	return healthy.empty() ? ejected : healthy; // If all are ejected, an ejected one is better than none.
 }
 
 const char* name(NoUpstream _why)
@@ -269,7 +272,7 @@
 	}
 	if (isCold(found->second.cold, _now) && !_asCold)
 	{
-		return false; // It turned cold since it was chosen.
+		return false; // It has become cold since it was chosen.
 	}
 	return found->second.registered || mayReregister(_table, found->second, kFallbackGraceShare, _now);
 }
--- a/tests/core/agent_suspects_test.cpp
+++ b/tests/core/agent_suspects_test.cpp
@@ -1,4 +1,4 @@
-/// Requests that end upstreams in agent mode: what agents see, what they and the routers refuse.
+/// Requests that end upstreams in agent mode: observation by agents, and refusal by agents and routers.
 #include <gtest/gtest.h>
 
 #include "spanplank/agent_core.h"
@@ -17,7 +17,7 @@
 {
 	RouterCore router;
 	std::vector<AgentCore> agents;
-	std::vector<uint64_t> told = std::vector<uint64_t>(kAgents);
+	std::vector<uint64_t> sentChanges = std::vector<uint64_t>(kAgents);
 	RouterActions actions;
 	uint64_t next = 1;
 
@@ -45,7 +45,7 @@
 		}
 	}
 
-	/// A caller's request. @returns What was sent for it; nothing: it was refused.
+	/// Submits a caller's request. @returns The message sent for it; empty if it was refused.
 	std::optional<SendSubmit> arriveAt(const std::string& _body, TimeUs _now)
 	{
 		CallerRequest request;
@@ -60,7 +60,7 @@
 		return sent != nullptr ? std::optional<SendSubmit>(*sent) : std::nullopt;
 	}
 
-	/// @returns Whether an agent gave it to its upstream, which then ends.
+	/// Ends the upstream of an agent that forwards a request. @returns Whether the agent forwarded it.
 	bool endAt(size_t _agent, const Submit& _submit, TimeUs _now)
 	{
 		AgentActions done;
@@ -75,14 +75,14 @@
 		return true;
 	}
 
-	/// The agent's news go to the router, and from there to all.
-	void spread(size_t _agent, TimeUs _now)
+	/// Sends the agent's updates to the router and all agents.
+	void shareUpdates(size_t _agent, TimeUs _now)
 	{
-		Suspects news{suspectUpdatesFor(agents[_agent].suspects, told[_agent], _now)};
-		onSuspects(router, news, _now, actions);
+		Suspects updates{suspectUpdatesFor(agents[_agent].suspects, sentChanges[_agent], _now)};
+		onSuspects(router, updates, _now, actions);
 		for (AgentCore& agent : agents)
 		{
-			onSuspects(agent, news, _now);
+			onSuspects(agent, updates, _now);
 		}
 	}
 };
@@ -95,7 +95,7 @@
 		const std::optional<SendSubmit> sent = arriveAt("end", now);
 		ASSERT_TRUE(sent.has_value());
 		ASSERT_TRUE(endAt(ii, sent->submit, now));
-		spread(ii, now + 100 * kMsToUs);
+		shareUpdates(ii, now + 100 * kMsToUs);
 	}
 	const TimeUs later = kNow + 4000 * kMsToUs;
 	EXPECT_FALSE(arriveAt("end", later).has_value());
@@ -105,11 +105,11 @@
 	EXPECT_GT(refusal.retryAfterMs, 0u);
 	std::optional<SendSubmit> other = arriveAt("harmless", later);
 	ASSERT_TRUE(other.has_value());
-	other->submit.body = "end"; // As a router sends it that has not heard of it.
-	EXPECT_FALSE(endAt(3, other->submit, later)) << "the agent judges it again";
+	other->submit.body = "end"; // As sent by a router without the updates.
+	EXPECT_FALSE(endAt(3, other->submit, later)) << "the agent checks it again";
 }
 
-TEST_F(AgentSuspects, CopiesUnderWayEndWhenItIsRefused)
+TEST_F(AgentSuspects, RunningCopiesEndWhenItIsRefused)
 {
 	const std::optional<SendSubmit> waiting = arriveAt("end", kNow);
 	ASSERT_TRUE(waiting.has_value());
@@ -120,7 +120,7 @@
 		submit.attempt = 100 + ii;
 		ASSERT_TRUE(endAt(ii, submit, now));
 		actions.clear();
-		spread(ii, now + 100 * kMsToUs);
+		shareUpdates(ii, now + 100 * kMsToUs);
 	}
 	ASSERT_EQ(actions.size(), 2u);
 	EXPECT_EQ(std::get<SendCancel>(actions[0]).attempt, waiting->submit.attempt);
@@ -128,20 +128,20 @@
 	EXPECT_EQ(std::get<RefuseRequest>(actions[1]).refusal.run, RunState::Unknown) << "it was sent";
 }
 
-TEST_F(AgentSuspects, AnAnswerClearsItAndOneCrashOfManyRequestsIsOneOfEach)
+TEST_F(AgentSuspects, AnAnswerClearsEarlierCrashes)
 {
 	const std::optional<SendSubmit> sent = arriveAt("often", kNow);
 	for (size_t ii = 0; ii < 2; ++ii)
 	{
 		ASSERT_TRUE(endAt(ii, sent->submit, kNow + TimeUs(ii) * 1000 * kMsToUs));
-		spread(ii, kNow + 1500 * kMsToUs);
+		shareUpdates(ii, kNow + 1500 * kMsToUs);
 	}
 	AgentActions done;
 	onSubmit(agents[3], kLink, sent->submit, kNow + 2000 * kMsToUs, 1, done);
 	onUpstreamEnd(agents[3], std::get<ForwardWork>(done.front()).work, {}, kNow + 2000 * kMsToUs, 1, done);
-	spread(3, kNow + 2100 * kMsToUs);
+	shareUpdates(3, kNow + 2100 * kMsToUs);
 	ASSERT_TRUE(endAt(2, sent->submit, kNow + 3000 * kMsToUs));
-	spread(2, kNow + 3100 * kMsToUs);
+	shareUpdates(2, kNow + 3100 * kMsToUs);
 	EXPECT_TRUE(arriveAt("often", kNow + 4000 * kMsToUs).has_value());
 }
 } // namespace
--- a/tests/core/cold_upstreams_test.cpp
+++ b/tests/core/cold_upstreams_test.cpp
@@ -1,4 +1,4 @@
-/// Cold upstreams: the bound on what all routers send, whatever they know of each other, and that it is used.
+/// Cold upstreams: the rate limit across all routers, with differing views of the fleet, and its use.
 #include "spanplank/cold_upstreams.h"
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 	return {fmt::format("box-{}", _idx), fmt::format("hall-{}", _idx % kHalls)};
 }
 
-/// What one router knows of a fleet. @param[in] _missing A router that it has not heard of.
+/// View of a fleet by one router. @param[in] _missing A router that is missing from it.
 Fleet fleetOf(size_t _self, size_t _routers, size_t _missing)
 {
 	Fleet fleet;
@@ -40,17 +40,17 @@
 	return fleet;
 }
 
-/// Requests that a cold upstream gets from routers with work at all times, each with its own view.
-struct Rush
+/// Requests that a cold upstream receives from routers that always have work, each with its own view.
+struct Load
 {
 	std::vector<ColdState> routers;
 	std::vector<TimeUs> sent;
 
-	Rush(size_t _routers, ColdSharing _sharing, size_t _unheard, uint64_t _upstream, Random& _random)
+	Load(size_t _routers, ColdSharing _sharing, size_t _unknown, uint64_t _upstream, Random& _random)
 	{
 		for (size_t ii = 0; ii < _routers; ++ii)
 		{
-			const Fleet fleet = fleetOf(ii, _routers, _unheard);
+			const Fleet fleet = fleetOf(ii, _routers, _unknown);
 			ColdState state;
 			markCold(state, ColdCause::Reported, 60 * kSecond);
 			const TimeUs spacing = coldSpacing(kService, kBounds, fleet, _upstream, "hall-1", _sharing);
@@ -59,19 +59,19 @@
 		}
 	}
 
-	/// @param[in] _jitter Longest time between two looks of a router.
+	/// @param[in] _jitter Maximum time between two attempts of a router.
 	void run(TimeUs _for, TimeUs _jitter, Random& _random)
 	{
-		std::vector<TimeUs> looks(routers.size(), 0);
+		std::vector<TimeUs> nextTry(routers.size(), 0);
 		for (TimeUs now = 0; now < _for; now += kMsToUs)
 		{
 			for (size_t ii = 0; ii < routers.size(); ++ii)
 			{
-				if (now < looks[ii])
+				if (now < nextTry[ii])
 				{
 					continue;
 				}
-				looks[ii] = now + TimeUs(nextUnit(_random) * double(_jitter));
+				nextTry[ii] = now + TimeUs(nextUnit(_random) * double(_jitter));
 				if (mayAcceptRequest(routers[ii], now))
 				{
 					recordColdRequest(routers[ii], now);
@@ -81,10 +81,10 @@
 		}
 	}
 
-	size_t mostInASecond() const
+	size_t maxPerSecond() const
 	{
 		std::deque<TimeUs> window;
-		size_t most = 0;
+		size_t highest = 0;
 		for (const TimeUs at : sent)
 		{
 			window.push_back(at);
@@ -92,43 +92,42 @@
 			{
 				window.pop_front();
 			}
-			most = std::max(most, window.size());
+			highest = std::max(highest, window.size());
 		}
-		return most;
+		return highest;
 	}
 };
 
 constexpr double kBound = 14.0 * 1.5 + 5.0;
 
-RC_GTEST_PROP(ColdUpstream, GetsNoMoreThanTheBoundWhateverRoutersKnowOfEachOther, ())
+RC_GTEST_PROP(ColdUpstream, GetsNoMoreThanTheBoundWithAnyViewsOfTheFleet, ())
 {
 	const size_t routers = *rc::gen::element<size_t>(1, 3, 23, 103, 300);
-	const size_t unheard = *rc::gen::inRange<size_t>(0, routers + 1);
+	const size_t unknown = *rc::gen::inRange<size_t>(0, routers + 1);
 	Random random{*rc::gen::arbitrary<uint64_t>()};
-	Rush rush(routers, ColdSharing::Owners, unheard, nextRandom(random), random);
-	rush.run(5 * kSecond, *rc::gen::inRange<TimeUs>(1, 60) * kMsToUs, random);
-	RC_ASSERT(double(rush.mostInASecond()) <= kBound);
+	Load load(routers, ColdSharing::Owners, unknown, nextRandom(random), random);
+	load.run(5 * kSecond, *rc::gen::inRange<TimeUs>(1, 60) * kMsToUs, random);
+	RC_ASSERT(double(load.maxPerSecond()) <= kBound);
 }
 
-TEST(ColdUpstream, IsUsedAtItsRateWhileAllElseIsFull)
+TEST(ColdUpstream, IsUsedAtItsRateByRoutersThatAlwaysHaveWork)
 {
 	for (const size_t routers : {1u, 3u, 23u, 103u, 300u})
 	{
 		Random random{routers};
-		Rush rush(routers, ColdSharing::Owners, routers, 7, random);
-		rush.run(10 * kSecond, kMsToUs, random);
-		EXPECT_GE(double(rush.sent.size()) / 10.0, 0.8 * kService.perSecond) << routers;
+		Load load(routers, ColdSharing::Owners, routers, 7, random);
+		load.run(10 * kSecond, kMsToUs, random);
+		EXPECT_GE(double(load.sent.size()) / 10.0, 0.8 * kService.perSecond) << routers;
 	}
 }
 
-// With equal parts nothing but chance keeps routers from sending in the same second: the mean alone is looked
-// at.
-TEST(ColdUpstream, WithEqualPartsGetsTheSameOnAverage)
+// With equal shares only chance keeps routers from sending in the same second, so only the mean is checked.
+TEST(ColdUpstream, WithEqualSharesGetsTheSameOnAverage)
 {
 	Random random{3};
-	Rush rush(23, ColdSharing::EqualShares, 23, 7, random);
-	rush.run(10 * kSecond, kMsToUs, random);
-	EXPECT_NEAR(double(rush.sent.size()) / 10.0, kService.perSecond, 2.0);
+	Load load(23, ColdSharing::EqualShares, 23, 7, random);
+	load.run(10 * kSecond, kMsToUs, random);
+	EXPECT_NEAR(double(load.sent.size()) / 10.0, kService.perSecond, 2.0);
 }
 
 TEST(ColdUpstream, GetsNothingFromARouterThatTheOthersDoNotKnowYet)
@@ -161,7 +160,7 @@
 		return upstream;
 	}
 
-	/// As for a router that is the only one.
+	/// Sets the interval of a router that is the only one.
 	void share(TimeUs _now)
 	{
 		for (auto& [idx, entry] : table.entries)
@@ -195,17 +194,17 @@
 	}
 };
 
-TEST_F(ColdTable, AnUpstreamThatSaysItIsColdGetsItsRateUntilItIsWarm)
+TEST_F(ColdTable, AnUpstreamThatReportsToBeColdGetsItsRateUntilItIsWarm)
 {
 	registerUpstream(table, record("one", "a", 3000, 5), 0);
-	EXPECT_FALSE(isValid(pick(0))) << "no part of its rate is worked out yet";
+	EXPECT_FALSE(isValid(pick(0))) << "this router has no share of its rate yet";
 	share(0);
 	EXPECT_LE(sendAll(0, kSecond), 11u);
-	registerUpstream(table, record("one", "a", 3000, 5), 2 * kSecond); // Listed again: no news.
+	registerUpstream(table, record("one", "a", 3000, 5), 2 * kSecond); // Listed again without a change.
 	EXPECT_EQ(sendAll(3 * kSecond, 3 * kSecond + 50 * kMsToUs), 50u);
 }
 
-TEST_F(ColdTable, AHallThatIsOpenAgainMayHaveTurnedCold)
+TEST_F(ColdTable, TheUpstreamsOfAReopenedHallAreTreatedAsCold)
 {
 	registerUpstream(table, record("one", "a", 0, 5), 0);
 	recordHallReopened(table, "a", 10 * kSecond);
@@ -214,7 +213,7 @@
 	EXPECT_EQ(sendAll(13 * kSecond, 13 * kSecond + 50 * kMsToUs), 50u);
 }
 
-TEST_F(ColdTable, AnUpstreamThatTookNoConnectionMayHaveStartedAgain)
+TEST_F(ColdTable, AnUpstreamThatAcceptedNoConnectionMayHaveRestarted)
 {
 	const UpstreamId one = registerUpstream(table, record("one", "a", 0, 5), 0);
 	recordSent(table, one, {}, kSecond);
@@ -229,7 +228,7 @@
 	EXPECT_TRUE(maySendTo(table, one, kSecond));
 	registerUpstream(table, record("one", "a", 3000, 6), kSecond);
 	EXPECT_FALSE(maySendTo(table, one, kSecond));
-	EXPECT_TRUE(maySendTo(table, one, kSecond, true)) << "one of those that it bears";
+	EXPECT_TRUE(maySendTo(table, one, kSecond, true)) << "within its rate limit";
 }
 
 TEST_F(ColdTable, WhereAllAreColdARequestWaitsBrieflyOrIsRefusedAtOnce)
@@ -241,14 +240,14 @@
 	RequestPlan plan;
 	plan.targetMs = 2000;
 	plan.deadline = 8 * kSecond;
-	EXPECT_FALSE(mayAwaitCold(plan, *nextColdSendAt(table, query, 0), 0)) << "this router has no part";
+	EXPECT_FALSE(mayAwaitCold(plan, *nextColdSendAt(table, query, 0), 0)) << "this router has no share";
 	share(0);
 	recordColdRequest(table.entries.begin()->second.cold, 0);
 	EXPECT_TRUE(mayAwaitCold(plan, *nextColdSendAt(table, query, 0), 0));
 	EXPECT_EQ(finalAnswer(plan, AttemptEnd::NotSent, NoUpstream::Cold, 0.0, 0).status, status::kUnavailable);
 }
 
-TEST_F(ColdTable, AServiceWithoutABoundIsUsedWhateverItsUpstreamsSay)
+TEST_F(ColdTable, AServiceWithoutALimitIsUsedWhateverItsUpstreamsReport)
 {
 	table.coldServices.clear();
 	registerUpstream(table, record("one", "a", 3000, 5), 0);
--- a/tests/core/crash_property_test.cpp
+++ b/tests/core/crash_property_test.cpp
@@ -1,5 +1,5 @@
-/// Random fleets with requests that end upstreams, upstreams that end by themselves, halls that are lost,
-/// paths that are reset, and requests that are at work at many upstreams at once.
+/// Simulates random fleets with requests that end upstreams, upstreams that end by themselves, lost halls,
+/// reset connections, and requests that run at many upstreams at once.
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
@@ -15,16 +15,17 @@
 namespace
 {
 constexpr TimeUs kStep = 10 * kMsToUs;
-constexpr TimeUs kDay = 20000 * kMsToUs;
-constexpr TimeUs kBack = 2000 * kMsToUs;     ///< Until an upstream that ended is replaced.
-constexpr TimeUs kNewsEvery = 120 * kMsToUs; ///< Between two exchanges over a link.
+constexpr TimeUs kDuration = 20000 * kMsToUs;
+constexpr TimeUs kReplaceTime = 2000 * kMsToUs;   ///< Time until an upstream that ended is replaced.
+constexpr TimeUs kUpdateInterval = 120 * kMsToUs; ///< Interval between two exchanges over a link.
 constexpr uint32_t kAttempts = 3;
-constexpr size_t kMostEnds = 3;             ///< Upstreams that one request may end.
-constexpr TimeUs kContact = 3000 * kMsToUs; ///< Within which routers in touch know of each other.
-constexpr uint32_t kMostLate = 3;           ///< Runs of one request that may begin later than that.
-constexpr TimeUs kCalm = 3000 * kMsToUs;    ///< At the beginning.
+constexpr size_t kMaxCrashesPerRequest = 3; ///< Upstreams that one request may end before it is refused.
+/// Time within which connected routers have exchanged updates.
+constexpr TimeUs kUpdateTime = 3000 * kMsToUs;
+constexpr uint32_t kMaxLateRuns = 3;         ///< Runs of one request that may start later than that.
+constexpr TimeUs kCalmTime = 3000 * kMsToUs; ///< Time without crashes at the start.
 constexpr uint32_t kHalls = 3;
-constexpr uint64_t kPopular = 1; ///< Upper half of the digests of each kind.
+constexpr uint64_t kPopular = 1; ///< Upper half of the digests of each kind of request.
 constexpr uint64_t kSingle = 2;
 constexpr uint64_t kEnding = 3;
 
@@ -39,42 +40,41 @@
 	TimeUs length = 0;
 };
 
-struct Scene
+struct Scenario
 {
 	uint32_t upstreams = 8;
 	uint32_t routers = 3;
-	uint32_t popular = 0;     ///< Requests of which copies are always at work.
-	uint32_t copies = 0;      ///< Of each.
-	TimeUs popularLength = 0; ///< Of their runs.
-	uint32_t singles = 20;    ///< A second, each another request.
+	uint32_t popular = 0;     ///< Requests of which copies are always running.
+	uint32_t copies = 0;      ///< Copies of each popular request.
+	TimeUs popularLength = 0; ///< Mean duration of their runs.
+	uint32_t singles = 20;    ///< Distinct requests per second that occur once.
 	TimeUs singleLength = 0;
-	double endsBySelf = 0.0; ///< Upstreams a second.
+	double endsBySelf = 0.0; ///< Upstreams that end by themselves, per second.
 	bool hallIsLost = false;
-	uint32_t ending = 0; ///< Requests that end upstreams, each again every 250 ms.
+	uint32_t ending = 0; ///< Requests that end upstreams, each repeated every 250 ms.
 	TimeUs endsAfter = 50 * kMsToUs;
 };
 
 struct Outcome
 {
-	uint32_t met = 0;     ///< Harmless requests that met a crash.
-	uint32_t refused = 0; ///< Those of them of which a copy was refused, or ended with attempts left.
-	uint32_t ends = 0;    ///< Upstreams that ended under requests that end them.
-	uint32_t late =
-		0; ///< Runs of these that began later than the bound after the third end under the request.
+	uint32_t met = 0;     ///< Harmless requests that were running at a crash.
+	uint32_t refused = 0; ///< Those of them of which a copy was refused, or stopped with attempts left.
+	uint32_t ends = 0;    ///< Upstreams ended by a request.
+	uint32_t late = 0; ///< Runs of these requests that started later than the bound after their third crash.
 };
 
 struct Fleet
 {
-	Scene scene;
+	Scenario scenario;
 	Random random;
-	std::vector<SuspectTable> books;
-	std::vector<uint64_t> toRoot;
-	std::vector<uint64_t> fromRoot;
+	std::vector<SuspectTable> suspects;
+	std::vector<uint64_t> sentToRoot;
+	std::vector<uint64_t> sentFromRoot;
 	std::vector<Run> runs;
-	std::vector<uint32_t> life;
+	std::vector<uint32_t> incarnation;
 	std::vector<TimeUs> backAt;
-	std::map<RequestDigest, bool> met;            ///< Harmless ones, with whether they were refused.
-	std::map<uint64_t, std::vector<TimeUs>> ends; ///< Under each request that ends upstreams.
+	std::map<RequestDigest, bool> met; ///< Harmless requests at crashes, and whether they were refused.
+	std::map<uint64_t, std::vector<TimeUs>> ends; ///< Crashes by each request that ends upstreams.
 	TimeUs troubleFrom = 0;
 	TimeUs lateAfter = 0;
 	uint32_t late = 0;
@@ -89,15 +89,15 @@
 
 void begin(Fleet& _fleet, Run _run)
 {
-	const uint32_t first = uint32_t(nextRandom(_fleet.random) % _fleet.scene.upstreams);
-	for (uint32_t ii = 0; ii < _fleet.scene.upstreams; ++ii)
+	const uint32_t first = uint32_t(nextRandom(_fleet.random) % _fleet.scenario.upstreams);
+	for (uint32_t ii = 0; ii < _fleet.scenario.upstreams; ++ii)
 	{
-		_run.upstream = (first + ii) % _fleet.scene.upstreams;
+		_run.upstream = (first + ii) % _fleet.scenario.upstreams;
 		if (isUp(_fleet, _run.upstream))
 		{
 			const std::vector<TimeUs>& ends = _fleet.ends[_run.digest.low];
-			const bool ending = _run.digest.high == kEnding && ends.size() >= kMostEnds;
-			_fleet.late += ending && _fleet.now - ends[kMostEnds - 1] > _fleet.lateAfter ? 1 : 0;
+			const bool ending = _run.digest.high == kEnding && ends.size() >= kMaxCrashesPerRequest;
+			_fleet.late += ending && _fleet.now - ends[kMaxCrashesPerRequest - 1] > _fleet.lateAfter ? 1 : 0;
 			_run.since = _fleet.now;
 			_run.until = _fleet.now + _run.length;
 			_fleet.runs.push_back(_run);
@@ -109,7 +109,8 @@
 /// @returns Whether a router refuses a request.
 bool isRefused(Fleet& _fleet, uint32_t _router, const RequestDigest& _digest)
 {
-	const bool refused = suspectStateOf(_fleet.books[_router], _digest, _fleet.now) == SuspectState::Refused;
+	const bool refused =
+		suspectStateOf(_fleet.suspects[_router], _digest, _fleet.now) == SuspectState::Refused;
 	if (refused && _digest.high != kEnding)
 	{
 		_fleet.met[_digest] = true;
@@ -119,7 +120,7 @@
 
 void arrive(Fleet& _fleet, const RequestDigest& _digest, TimeUs _length)
 {
-	const auto router = uint32_t(nextRandom(_fleet.random) % _fleet.scene.routers);
+	const auto router = uint32_t(nextRandom(_fleet.random) % _fleet.scenario.routers);
 	if (!isRefused(_fleet, router, _digest))
 	{
 		begin(_fleet, {_digest, router, 0, 1, 0, 0, _length});
@@ -142,30 +143,31 @@
 
 void crash(Fleet& _fleet, uint32_t _upstream)
 {
-	const auto key = UpstreamKey(_upstream * 1000 + _fleet.life[_upstream]++);
-	_fleet.backAt[_upstream] = _fleet.now + kBack;
-	std::vector<Run> broken;
+	const auto key = UpstreamKey(_upstream * 1000 + _fleet.incarnation[_upstream]++);
+	_fleet.backAt[_upstream] = _fleet.now + kReplaceTime;
+	std::vector<Run> aborted;
 	const auto here = [_upstream](const Run& _run) {
 		return _run.upstream == _upstream;
 	};
-	std::copy_if(_fleet.runs.begin(), _fleet.runs.end(), std::back_inserter(broken), here);
+	std::copy_if(_fleet.runs.begin(), _fleet.runs.end(), std::back_inserter(aborted), here);
 	std::vector<uint32_t> copies;
-	copies.reserve(broken.size());
-	for (const Run& run : broken)
+	copies.reserve(aborted.size());
+	for (const Run& run : aborted)
 	{
 		copies.push_back(copiesOf(_fleet, run));
 	}
 	_fleet.runs.erase(std::remove_if(_fleet.runs.begin(), _fleet.runs.end(), here), _fleet.runs.end());
-	for (size_t ii = 0; ii < broken.size(); ++ii)
+	for (size_t ii = 0; ii < aborted.size(); ++ii)
 	{
-		Run& run = broken[ii];
+		Run& run = aborted[ii];
 		if (run.digest.high != kEnding)
 		{
 			_fleet.met.emplace(run.digest, false);
 		}
-		SuspectTable& book = _fleet.books[run.router];
-		const ObservedCrash seen{key, _fleet.now, _fleet.now - run.since, _fleet.scene.upstreams, copies[ii]};
-		recordCrash(book, run.digest, "", seen, _fleet.now);
+		SuspectTable& table = _fleet.suspects[run.router];
+		const ObservedCrash seen{key, _fleet.now, _fleet.now - run.since, _fleet.scenario.upstreams,
+								 copies[ii]};
+		recordCrash(table, run.digest, "", seen, _fleet.now);
 		if (run.attempt++ < kAttempts && !isRefused(_fleet, run.router, run.digest))
 		{
 			begin(_fleet, run);
@@ -173,7 +175,7 @@
 	}
 }
 
-/// Runs that are over: an answer, or an upstream's end.
+/// Ends the runs that are over, with an answer or with the end of their upstream.
 void endRuns(Fleet& _fleet)
 {
 	std::vector<uint32_t> ended;
@@ -189,7 +191,7 @@
 		if (run.digest.high == kEnding)
 		{
 			Run again = run;
-			again.until = _fleet.now + kDay; // Still at work as its upstream ends.
+			again.until = _fleet.now + kDuration; // Still running when its upstream ends.
 			at = _fleet.runs.insert(at, again) + 1;
 			if (std::find(ended.begin(), ended.end(), run.upstream) == ended.end())
 			{
@@ -199,7 +201,7 @@
 		}
 		else
 		{
-			recordAnswered(_fleet.books[run.router], run.digest, _fleet.now);
+			recordAnswered(_fleet.suspects[run.router], run.digest, _fleet.now);
 		}
 	}
 	for (const uint32_t upstream : ended)
@@ -208,15 +210,15 @@
 	}
 }
 
-/// All routers follow the first.
+/// Exchanges updates; all routers follow the first.
 void exchange(Fleet& _fleet)
 {
-	for (uint32_t ii = 1; ii < _fleet.scene.routers; ++ii)
+	for (uint32_t ii = 1; ii < _fleet.scenario.routers; ++ii)
 	{
-		const auto up = suspectUpdatesFor(_fleet.books[ii], _fleet.toRoot[ii], _fleet.now);
-		applySuspectUpdates(_fleet.books[0], up, _fleet.now);
-		const auto down = suspectUpdatesFor(_fleet.books[0], _fleet.fromRoot[ii], _fleet.now);
-		applySuspectUpdates(_fleet.books[ii], down, _fleet.now);
+		const auto up = suspectUpdatesFor(_fleet.suspects[ii], _fleet.sentToRoot[ii], _fleet.now);
+		applySuspectUpdates(_fleet.suspects[0], up, _fleet.now);
+		const auto down = suspectUpdatesFor(_fleet.suspects[0], _fleet.sentFromRoot[ii], _fleet.now);
+		applySuspectUpdates(_fleet.suspects[ii], down, _fleet.now);
 	}
 }
 
@@ -225,7 +227,7 @@
 	return nextUnit(_fleet.random) < _aSecond * double(kStep) / double(1000 * kMsToUs);
 }
 
-/// Copies under way of what their router refuses are ended.
+/// Stops running copies of requests that their router refuses.
 void stopRefused(Fleet& _fleet)
 {
 	_fleet.runs.erase(
@@ -236,69 +238,70 @@
 
 void arrivals(Fleet& _fleet)
 {
-	const Scene& scene = _fleet.scene;
-	for (uint32_t kind = 0; kind < scene.popular; ++kind)
+	const Scenario& scenario = _fleet.scenario;
+	for (uint32_t kind = 0; kind < scenario.popular; ++kind)
 	{
 		const RequestDigest digest{kPopular, kind};
 		const auto atWork = std::count_if(_fleet.runs.begin(), _fleet.runs.end(),
 										  [&](const Run& _run) { return _run.digest == digest; });
-		for (auto ii = uint32_t(atWork); ii < scene.copies; ++ii)
+		for (auto ii = uint32_t(atWork); ii < scenario.copies; ++ii)
 		{
 			arrive(_fleet, digest,
-				   scene.popularLength / 2 + TimeUs(nextUnit(_fleet.random) * double(scene.popularLength)));
+				   scenario.popularLength / 2 +
+					   TimeUs(nextUnit(_fleet.random) * double(scenario.popularLength)));
 		}
 	}
-	if (happens(_fleet, scene.singles))
+	if (happens(_fleet, scenario.singles))
 	{
-		arrive(_fleet, {kSingle, ++_fleet.next}, scene.singleLength);
+		arrive(_fleet, {kSingle, ++_fleet.next}, scenario.singleLength);
 	}
 	constexpr TimeUs kRepeat = 250 * kMsToUs;
-	for (uint32_t ii = 0; ii < scene.ending && _fleet.now >= _fleet.troubleFrom; ++ii)
+	for (uint32_t ii = 0; ii < scenario.ending && _fleet.now >= _fleet.troubleFrom; ++ii)
 	{
 		if (_fleet.now % kRepeat == TimeUs(ii) * 2 * kStep)
 		{
-			arrive(_fleet, {kEnding, ii}, scene.endsAfter);
+			arrive(_fleet, {kEnding, ii}, scenario.endsAfter);
 		}
 	}
 }
 
-Outcome play(const Scene& _scene, uint64_t _seed, TimeUs _lateAfter = kContact)
+Outcome simulate(const Scenario& _scenario, uint64_t _seed, TimeUs _lateAfter = kUpdateTime)
 {
 	Fleet fleet;
 	fleet.lateAfter = _lateAfter;
-	fleet.scene = _scene;
+	fleet.scenario = _scenario;
 	fleet.random.state = _seed;
-	fleet.books.resize(_scene.routers);
-	fleet.toRoot.resize(_scene.routers);
-	fleet.fromRoot.resize(_scene.routers);
-	fleet.life.resize(_scene.upstreams, 1);
-	fleet.backAt.resize(_scene.upstreams, 0);
+	fleet.suspects.resize(_scenario.routers);
+	fleet.sentToRoot.resize(_scenario.routers);
+	fleet.sentFromRoot.resize(_scenario.routers);
+	fleet.incarnation.resize(_scenario.upstreams, 1);
+	fleet.backAt.resize(_scenario.upstreams, 0);
 	const TimeUs begin = fleet.now;
-	fleet.troubleFrom = begin + kCalm;
-	for (; fleet.now < begin + kDay; fleet.now += kStep)
+	fleet.troubleFrom = begin + kCalmTime;
+	for (; fleet.now < begin + kDuration; fleet.now += kStep)
 	{
 		endRuns(fleet);
 		arrivals(fleet);
-		if (fleet.now >= fleet.troubleFrom && happens(fleet, _scene.endsBySelf))
+		if (fleet.now >= fleet.troubleFrom && happens(fleet, _scenario.endsBySelf))
 		{
-			const auto upstream = uint32_t(nextRandom(fleet.random) % _scene.upstreams);
+			const auto upstream = uint32_t(nextRandom(fleet.random) % _scenario.upstreams);
 			if (isUp(fleet, upstream))
 			{
 				crash(fleet, upstream);
 			}
 		}
-		if (_scene.hallIsLost && fleet.now == begin + kDay / 2)
+		if (_scenario.hallIsLost && fleet.now == begin + kDuration / 2)
 		{
-			for (uint32_t ii = 0; ii < _scene.upstreams; ii += kHalls)
+			for (uint32_t ii = 0; ii < _scenario.upstreams; ii += kHalls)
 			{
-				fleet.backAt[ii] = fleet.now + kBack; // Before any request is sent on.
+				fleet.backAt[ii] = fleet.now + kReplaceTime; // Before any request is retried.
 			}
-			for (uint32_t ii = 0; ii < _scene.upstreams; ii += kHalls)
+			for (uint32_t ii = 0; ii < _scenario.upstreams; ii += kHalls)
 			{
 				crash(fleet, ii);
 			}
 		}
-		if (fleet.now % kNewsEvery == 0)
+		if (fleet.now % kUpdateInterval == 0)
 		{
 			exchange(fleet);
 		}
@@ -318,50 +321,50 @@
 	return outcome;
 }
 
-Scene randomScene(Random& _random)
+Scenario randomScenario(Random& _random)
 {
-	Scene scene;
+	Scenario scenario;
 	constexpr uint32_t kUpstreams[] = {8, 20, 60};
 	constexpr uint32_t kRouters[] = {1, 3, 23};
-	scene.upstreams = kUpstreams[nextRandom(_random) % 3];
-	scene.routers = kRouters[nextRandom(_random) % 3];
-	scene.popular = uint32_t(nextRandom(_random) % 4);
-	scene.copies = 1 + uint32_t(nextRandom(_random) % (2 * uint64_t(scene.upstreams)));
-	scene.popularLength = TimeUs(20 + nextRandom(_random) % 2000) * kMsToUs;
-	scene.singleLength = TimeUs(20 + nextRandom(_random) % 2000) * kMsToUs;
-	scene.hallIsLost = nextRandom(_random) % 2 == 0;
-	return scene;
+	scenario.upstreams = kUpstreams[nextRandom(_random) % 3];
+	scenario.routers = kRouters[nextRandom(_random) % 3];
+	scenario.popular = uint32_t(nextRandom(_random) % 4);
+	scenario.copies = 1 + uint32_t(nextRandom(_random) % (2 * uint64_t(scenario.upstreams)));
+	scenario.popularLength = TimeUs(20 + nextRandom(_random) % 2000) * kMsToUs;
+	scenario.singleLength = TimeUs(20 + nextRandom(_random) % 2000) * kMsToUs;
+	scenario.hallIsLost = nextRandom(_random) % 2 == 0;
+	return scenario;
 }
 
-uint32_t scenes()
+uint32_t scenarioCount()
 {
-	const char* asked = std::getenv("SPANPLANK_FLEETS");
-	return asked != nullptr ? uint32_t(std::stoul(asked)) : 24;
+	const char* requested = std::getenv("SPANPLANK_FLEETS");
+	return requested != nullptr ? uint32_t(std::stoul(requested)) : 24;
 }
 
-std::string describe(const Scene& _scene, const Outcome& _outcome)
+std::string describe(const Scenario& _scenario, const Outcome& _outcome)
 {
 	return fmt::format(
 		"{} ends, {} late: upstreams {} routers {} popular {} x {} for {} ms, singles {} ms, by self {:.2f}, "
 		"ends after {} ms",
-		_outcome.ends, _outcome.late, _scene.upstreams, _scene.routers, _scene.popular, _scene.copies,
-		_scene.popularLength / kMsToUs, _scene.singleLength / kMsToUs, _scene.endsBySelf,
-		_scene.endsAfter / kMsToUs);
+		_outcome.ends, _outcome.late, _scenario.upstreams, _scenario.routers, _scenario.popular,
+		_scenario.copies, _scenario.popularLength / kMsToUs, _scenario.singleLength / kMsToUs,
+		_scenario.endsBySelf, _scenario.endsAfter / kMsToUs);
 }
 
-// Harmless requests: at most one of a thousand that met a crash is refused, whether upstreams end by
-// themselves or under others.
+// At most one of a thousand harmless requests that were running at a crash is refused, whether upstreams end
+// by themselves or by other requests.
 TEST(CrashProperty, HarmlessRequestsAreNotRefused)
 {
 	uint32_t met = 0;
 	uint32_t refused = 0;
 	Random random{11};
-	for (uint32_t ii = 0; ii < scenes(); ++ii)
+	for (uint32_t ii = 0; ii < scenarioCount(); ++ii)
 	{
-		Scene scene = randomScene(random);
-		scene.endsBySelf = nextUnit(random) * 0.3 * double(scene.upstreams) / 8.0;
-		scene.ending = uint32_t(nextRandom(random) % 3);
-		const Outcome outcome = play(scene, nextRandom(random));
+		Scenario scenario = randomScenario(random);
+		scenario.endsBySelf = nextUnit(random) * 0.3 * double(scenario.upstreams) / 8.0;
+		scenario.ending = uint32_t(nextRandom(random) % 3);
+		const Outcome outcome = simulate(scenario, nextRandom(random));
 		met += outcome.met;
 		refused += outcome.refused;
 		if (outcome.refused > 0)
@@ -369,44 +372,44 @@
 			fmt::print("fleet {}: {} of {} refused: upstreams {} routers {} popular {} x {} for {} ms, "
 					   "singles {} ms, by "
 					   "self {:.2f}, ending {}\n",
-					   ii, outcome.refused, outcome.met, scene.upstreams, scene.routers, scene.popular,
-					   scene.copies, scene.popularLength / kMsToUs, scene.singleLength / kMsToUs,
-					   scene.endsBySelf, scene.ending);
+					   ii, outcome.refused, outcome.met, scenario.upstreams, scenario.routers,
+					   scenario.popular, scenario.copies, scenario.popularLength / kMsToUs,
+					   scenario.singleLength / kMsToUs, scenario.endsBySelf, scenario.ending);
 		}
 	}
 	fmt::print("{} of {} harmless requests that met a crash were refused\n", refused, met);
 	EXPECT_LE(refused * 1000, met);
 }
 
-// One request that ends whoever runs it, among others, in fleets where upstreams do not end otherwise: once
-// the third has ended and the routers have told each other, it runs no more.
-TEST(CrashProperty, ARequestThatEndsUpstreamsIsRefusedAtItsThird)
+// One request among others ends each upstream that runs it, and upstreams do not end otherwise. After its
+// third crash, and once the routers have exchanged updates, it does not run any more.
+TEST(CrashProperty, ARequestThatEndsUpstreamsIsRefusedAtItsThirdCrash)
 {
 	Random random{12};
-	for (uint32_t ii = 0; ii < scenes(); ++ii)
+	for (uint32_t ii = 0; ii < scenarioCount(); ++ii)
 	{
-		Scene scene = randomScene(random);
-		scene.hallIsLost = false;
-		scene.ending = 1;
-		const Outcome outcome = play(scene, nextRandom(random), 2 * kNewsEvery);
-		EXPECT_GE(outcome.ends, kMostEnds);
-		EXPECT_EQ(outcome.late, 0u) << "fleet " << ii << ": " << describe(scene, outcome);
+		Scenario scenario = randomScenario(random);
+		scenario.hallIsLost = false;
+		scenario.ending = 1;
+		const Outcome outcome = simulate(scenario, nextRandom(random), 2 * kUpdateInterval);
+		EXPECT_GE(outcome.ends, kMaxCrashesPerRequest);
+		EXPECT_EQ(outcome.late, 0u) << "fleet " << ii << ": " << describe(scenario, outcome);
 	}
 }
 
-// The same where it waits long at busy upstreams, so that several copies are under way at once, while
-// upstreams end by themselves too.
+// The same with a long delay at busy upstreams, so that several copies run at once, while upstreams also end
+// by themselves.
 TEST(CrashProperty, ARequestThatEndsUpstreamsIsRefusedWithinTheBoundInStorms)
 {
 	Random random{13};
-	for (uint32_t ii = 0; ii < scenes(); ++ii)
+	for (uint32_t ii = 0; ii < scenarioCount(); ++ii)
 	{
-		Scene scene = randomScene(random);
-		scene.ending = 1;
-		scene.endsAfter = TimeUs(20 + nextRandom(random) % 1500) * kMsToUs;
-		scene.endsBySelf = nextUnit(random) * 0.3 * double(scene.upstreams) / 8.0;
-		const Outcome outcome = play(scene, nextRandom(random));
-		EXPECT_LE(outcome.late, kMostLate) << "fleet " << ii << ": " << describe(scene, outcome);
+		Scenario scenario = randomScenario(random);
+		scenario.ending = 1;
+		scenario.endsAfter = TimeUs(20 + nextRandom(random) % 1500) * kMsToUs;
+		scenario.endsBySelf = nextUnit(random) * 0.3 * double(scenario.upstreams) / 8.0;
+		const Outcome outcome = simulate(scenario, nextRandom(random));
+		EXPECT_LE(outcome.late, kMaxLateRuns) << "fleet " << ii << ": " << describe(scenario, outcome);
 	}
 }
 } // namespace
--- a/tests/core/crash_suspects_test.cpp
+++ b/tests/core/crash_suspects_test.cpp
@@ -1,4 +1,4 @@
-/// Suspicion of requests that end upstreams: what counts against them, what clears them, what routers tell.
+/// Suspects: crashes that count against a request, what clears it, and updates between routers.
 #include "spanplank/crash_suspects.h"
 
 #include <gtest/gtest.h>
@@ -14,24 +14,25 @@
 const RequestDigest kOne{1, 1};
 const RequestDigest kOther{2, 2};
 
-ObservedCrash crashAt(TimeUs _at, UpstreamKey _upstream, TimeUs _atWork = 50 * kMsToUs, uint32_t _copies = 0)
+ObservedCrash crashAt(TimeUs _at, UpstreamKey _upstream, TimeUs _runningFor = 50 * kMsToUs,
+					  uint32_t _copies = 0)
 {
-	return {_upstream, _at, _atWork, kUpstreams, _copies};
+	return {_upstream, _at, _runningFor, kUpstreams, _copies};
 }
 
-/// @returns Whether it is refused after that many crashes, a second apart.
-bool refusedAfter(SuspectTable& _book, const RequestDigest& _digest, uint32_t _crashes, TimeUs _from = kStart,
-				  UpstreamKey _first = 1)
+/// @returns Whether a request is refused after a number of crashes, one second apart.
+bool refusedAfter(SuspectTable& _suspects, const RequestDigest& _digest, uint32_t _crashes,
+				  TimeUs _from = kStart, UpstreamKey _first = 1)
 {
 	for (uint32_t ii = 0; ii < _crashes; ++ii)
 	{
 		const TimeUs at = _from + ii * kSecond;
-		recordCrash(_book, _digest, "town GET /x", crashAt(at, _first + ii), at);
+		recordCrash(_suspects, _digest, "town GET /x", crashAt(at, _first + ii), at);
 	}
-	return suspectStateOf(_book, _digest, _from + _crashes * kSecond) == SuspectState::Refused;
+	return suspectStateOf(_suspects, _digest, _from + _crashes * kSecond) == SuspectState::Refused;
 }
 
-TEST(RequestDigest, IsThatOfWhatCallersRepeatAndOfNothingElse)
+TEST(RequestDigest, DependsOnAllPartsOfTheRequestAndOnNothingElse)
 {
 	const RequestParts parts{"town", "host", "GET", "/a?b", "body"};
 	EXPECT_TRUE(digestOf(parts) == digestOf(parts));
@@ -51,130 +52,131 @@
 
 TEST(CrashSuspects, OneIsRefusedAtItsThirdCrashAndNotBefore)
 {
-	SuspectTable book;
-	EXPECT_FALSE(refusedAfter(book, kOne, 2));
-	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
+	SuspectTable suspects;
+	EXPECT_FALSE(refusedAfter(suspects, kOne, 2));
+	EXPECT_EQ(suspectStateOf(suspects, kOne, kStart), SuspectState::Suspected);
 	SuspectTable another;
 	EXPECT_TRUE(refusedAfter(another, kOne, 3));
 	EXPECT_EQ(suspectStateOf(another, kOther, kStart), SuspectState::Unknown);
 }
 
-TEST(CrashSuspects, ThreeCrashesInOneTryAreEnough)
+TEST(CrashSuspects, ThreeCrashesOfOneRequestAreEnough)
 {
-	SuspectTable book;
+	SuspectTable suspects;
 	for (uint32_t ii = 0; ii < 3; ++ii)
 	{
 		const TimeUs at = kStart + TimeUs(ii) * 40 * kMsToUs;
-		recordCrash(book, kOne, "", crashAt(at, ii + 1, 30 * kMsToUs), at);
+		recordCrash(suspects, kOne, "", crashAt(at, ii + 1, 30 * kMsToUs), at);
 	}
-	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Refused);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, kStart), SuspectState::Refused);
 }
 
-TEST(CrashSuspects, AWholeAnswerClears)
+TEST(CrashSuspects, ACompleteAnswerClears)
 {
-	SuspectTable book;
-	refusedAfter(book, kOne, 2);
-	EXPECT_TRUE(clearSuspect(book, kOne, kStart));
-	EXPECT_FALSE(clearSuspect(book, kOne, kStart));
-	EXPECT_FALSE(refusedAfter(book, kOne, 5, kStart + 10 * kSecond, 10)) << "it has run before";
-	EXPECT_TRUE(refusedAfter(book, kOne, 6, kStart + 20 * kSecond, 10));
+	SuspectTable suspects;
+	refusedAfter(suspects, kOne, 2);
+	EXPECT_TRUE(clearSuspect(suspects, kOne, kStart));
+	EXPECT_FALSE(clearSuspect(suspects, kOne, kStart));
+	EXPECT_FALSE(refusedAfter(suspects, kOne, 5, kStart + 10 * kSecond, 10)) << "it has run before";
+	EXPECT_TRUE(refusedAfter(suspects, kOne, 6, kStart + 20 * kSecond, 10));
 }
 
 TEST(CrashSuspects, AHallThatIsLostUnderManyCopiesCountsOnce)
 {
-	SuspectTable book;
+	SuspectTable suspects;
 	for (uint32_t ii = 0; ii < 8; ++ii)
 	{
 		const TimeUs at = kStart + TimeUs(ii) * 10 * kMsToUs;
-		recordCrash(book, kOne, "", crashAt(at, ii + 1, kSecond), at);
+		recordCrash(suspects, kOne, "", crashAt(at, ii + 1, kSecond), at);
 	}
-	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, kStart), SuspectState::Suspected);
 }
 
-TEST(CrashSuspects, OneThatIsAtMostUpstreamsIsAtMostCrashesToo)
+TEST(CrashSuspects, ARequestThatRunsAtMostUpstreamsIsNotRefused)
 {
-	SuspectTable book;
-	recordAnswered(book, kOne, kStart);
+	SuspectTable suspects;
+	recordAnswered(suspects, kOne, kStart);
 	for (uint32_t ii = 0; ii < kMaxCrashesPerSuspect; ++ii)
 	{
 		const TimeUs at = kStart + ii * kSecond;
-		recordCrash(book, kOne, "", crashAt(at, ii + 1, kSecond, kUpstreams - 1), at);
+		recordCrash(suspects, kOne, "", crashAt(at, ii + 1, kSecond, kUpstreams - 1), at);
 	}
-	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, kStart), SuspectState::Suspected);
 }
 
-TEST(CrashSuspects, CrashesUnderARefusedOneAreNotHeldAgainstOthers)
+TEST(CrashSuspects, CrashesAttributedToARefusedOneDoNotCountAgainstOthers)
 {
-	SuspectTable book;
-	ASSERT_TRUE(refusedAfter(book, kOne, 3));
-	EXPECT_FALSE(refusedAfter(book, kOther, 2)) << "the same upstreams";
-	EXPECT_FALSE(refusedAfter(book, kOther, 1, kStart, 10)) << "two of three are explained";
+	SuspectTable suspects;
+	ASSERT_TRUE(refusedAfter(suspects, kOne, 3));
+	EXPECT_FALSE(refusedAfter(suspects, kOther, 2)) << "the same upstreams";
+	EXPECT_FALSE(refusedAfter(suspects, kOther, 1, kStart, 10)) << "two of three are explained";
 }
 
-TEST(CrashSuspects, ABystanderThatIsRefusedByMistakeDoesNotCoverUpForTheOther)
+TEST(CrashSuspects, AHarmlessRequestRefusedByMistakeDoesNotProtectTheOther)
 {
-	SuspectTable book;
-	ASSERT_TRUE(refusedAfter(book, kOther, 3)) << "it was at work at the same three";
-	EXPECT_TRUE(refusedAfter(book, kOne, 3));
+	SuspectTable suspects;
+	ASSERT_TRUE(refusedAfter(suspects, kOther, 3)) << "it was running at the same three";
+	EXPECT_TRUE(refusedAfter(suspects, kOne, 3));
 }
 
-TEST(CrashSuspects, OneOfManyRunsWhileUpstreamsEndByThemselvesIsNotRefusedForThree)
+TEST(CrashSuspects, ThreeCrashesAreNotEnoughWhileManyUpstreamsEndWithoutTheRequest)
 {
-	SuspectTable book;
-	for (uint32_t ii = 0; ii < 20; ++ii) // Under other requests, twice a second.
+	SuspectTable suspects;
+	for (uint32_t ii = 0; ii < 20; ++ii) // Running other requests, twice a second.
 	{
 		const TimeUs at = kStart + ii * kSecond / 2;
-		recordCrash(book, RequestDigest{100, ii}, "", crashAt(at, 100 + ii), at);
+		recordCrash(suspects, RequestDigest{100, ii}, "", crashAt(at, 100 + ii), at);
 	}
 	for (uint32_t ii = 0; ii < 3; ++ii)
 	{
 		const TimeUs at = kStart + (3 + ii) * kSecond;
-		recordCrash(book, kOne, "", crashAt(at, ii + 1, 2 * kSecond), at);
+		recordCrash(suspects, kOne, "", crashAt(at, ii + 1, 2 * kSecond), at);
 	}
-	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Suspected);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, kStart), SuspectState::Suspected);
 }
 
-TEST(CrashSuspects, ARefusalEndsWithOneRunThatShowsWhatHasChanged)
+TEST(CrashSuspects, ARefusalEndsWithOneProbe)
 {
-	SuspectTable book;
-	refusedAfter(book, kOne, 3);
+	SuspectTable suspects;
+	refusedAfter(suspects, kOne, 3);
 	const TimeUs due = kStart + 3 * kSecond + kRefusalTime;
-	EXPECT_EQ(suspectStateOf(book, kOne, due), SuspectState::ProbeDue);
-	EXPECT_TRUE(beginProbe(book, kOne));
-	EXPECT_FALSE(beginProbe(book, kOne)) << "one at a time";
-	recordCrash(book, kOne, "", crashAt(due, 50), due);
-	EXPECT_EQ(suspectStateOf(book, kOne, due + kRefusalTime + kSecond), SuspectState::Refused)
+	EXPECT_EQ(suspectStateOf(suspects, kOne, due), SuspectState::ProbeDue);
+	EXPECT_TRUE(beginProbe(suspects, kOne));
+	EXPECT_FALSE(beginProbe(suspects, kOne)) << "one at a time";
+	recordCrash(suspects, kOne, "", crashAt(due, 50), due);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, due + kRefusalTime + kSecond), SuspectState::Refused)
 		<< "twice as long";
-	EXPECT_EQ(suspectStateOf(book, kOne, due + 2 * kRefusalTime + kSecond), SuspectState::ProbeDue);
-	EXPECT_TRUE(beginProbe(book, kOne));
-	EXPECT_TRUE(clearSuspect(book, kOne, due));
-	EXPECT_EQ(suspectStateOf(book, kOne, due), SuspectState::Unknown);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, due + 2 * kRefusalTime + kSecond), SuspectState::ProbeDue);
+	EXPECT_TRUE(beginProbe(suspects, kOne));
+	EXPECT_TRUE(clearSuspect(suspects, kOne, due));
+	EXPECT_EQ(suspectStateOf(suspects, kOne, due), SuspectState::Unknown);
 }
 
-TEST(CrashSuspects, TheBookIsBoundedAndKeepsRefusedOnesLongest)
+TEST(CrashSuspects, TheTableIsBoundedAndRemovesRefusedOnesLast)
 {
-	SuspectTable book;
-	refusedAfter(book, kOne, 3);
+	SuspectTable suspects;
+	refusedAfter(suspects, kOne, 3);
 	for (uint32_t ii = 0; ii < 2 * kMaxSuspects; ++ii)
 	{
-		recordCrash(book, RequestDigest{100, ii}, std::string(1000, 'x'), crashAt(kStart, 1000 + ii), kStart);
+		recordCrash(suspects, RequestDigest{100, ii}, std::string(1000, 'x'), crashAt(kStart, 1000 + ii),
+					kStart);
 	}
-	EXPECT_EQ(book.suspects.size(), kMaxSuspects);
-	EXPECT_EQ(book.byChange.size(), kMaxSuspects);
-	EXPECT_LE(book.crashes.size(), kMaxCrashes);
-	EXPECT_EQ(suspectStateOf(book, kOne, kStart), SuspectState::Refused);
-	EXPECT_LE(book.suspects.rbegin()->second.label.size(), kMaxLabelBytes);
-	expireSuspects(book, kStart + kSuspicionTime + kRefusalTime + 9 * kSecond);
-	EXPECT_TRUE(book.suspects.empty());
-	EXPECT_TRUE(book.byChange.empty());
-	EXPECT_TRUE(book.explainedBy.empty());
+	EXPECT_EQ(suspects.suspects.size(), kMaxSuspects);
+	EXPECT_EQ(suspects.byChange.size(), kMaxSuspects);
+	EXPECT_LE(suspects.crashes.size(), kMaxCrashes);
+	EXPECT_EQ(suspectStateOf(suspects, kOne, kStart), SuspectState::Refused);
+	EXPECT_LE(suspects.suspects.rbegin()->second.label.size(), kMaxLabelBytes);
+	expireSuspects(suspects, kStart + kSuspicionTime + kRefusalTime + 9 * kSecond);
+	EXPECT_TRUE(suspects.suspects.empty());
+	EXPECT_TRUE(suspects.byChange.empty());
+	EXPECT_TRUE(suspects.explainedBy.empty());
 }
 
-/// Tells `_to` what is new at `_from`, through the wire's form. @returns Bytes.
-size_t tell(const SuspectTable& _from, uint64_t& _told, SuspectTable& _to, TimeUs _now,
-			std::vector<RequestDigest>* _refused = nullptr)
+/// Sends the updates of `_from` to `_to` in the wire format. @returns The size of the message in bytes.
+size_t sendUpdates(const SuspectTable& _from, uint64_t& _sent, SuspectTable& _to, TimeUs _now,
+				   std::vector<RequestDigest>* _refused = nullptr)
 {
-	const nlohmann::json wire(suspectUpdatesFor(_from, _told, _now));
+	const nlohmann::json wire(suspectUpdatesFor(_from, _sent, _now));
 	const auto refused = applySuspectUpdates(_to, wire.get<std::vector<SuspectUpdate>>(), _now);
 	if (_refused != nullptr)
 	{
@@ -183,29 +185,29 @@
 	return nlohmann::json::to_cbor(wire).size();
 }
 
-TEST(SuspectUpdate, CrashesThatThreeRoutersSawAreOneSuspect)
+TEST(SuspectUpdate, CrashesThatThreeRoutersObservedAreOneSuspect)
 {
-	SuspectTable books[3];
-	uint64_t told[3] = {};
+	SuspectTable tables[3];
+	uint64_t sent[3] = {};
 	for (uint32_t ii = 0; ii < 3; ++ii)
 	{
 		const TimeUs at = kStart + ii * kSecond;
-		recordCrash(books[ii], kOne, "town GET /x", crashAt(at, ii + 1), at);
+		recordCrash(tables[ii], kOne, "town GET /x", crashAt(at, ii + 1), at);
 	}
 	const TimeUs now = kStart + 3 * kSecond;
 	std::vector<RequestDigest> refused;
-	tell(books[0], told[0], books[1], now);
-	tell(books[1], told[1], books[2], now, &refused);
+	sendUpdates(tables[0], sent[0], tables[1], now);
+	sendUpdates(tables[1], sent[1], tables[2], now, &refused);
 	ASSERT_EQ(refused.size(), 1u);
-	EXPECT_EQ(suspectStateOf(books[2], kOne, now), SuspectState::Refused);
-	EXPECT_EQ(books[2].suspects.at(kOne).label, "town GET /x");
+	EXPECT_EQ(suspectStateOf(tables[2], kOne, now), SuspectState::Refused);
+	EXPECT_EQ(tables[2].suspects.at(kOne).label, "town GET /x");
 	uint64_t back = 0;
-	tell(books[2], back, books[0], now, &refused);
+	sendUpdates(tables[2], back, tables[0], now, &refused);
 	EXPECT_EQ(refused.size(), 1u);
-	EXPECT_EQ(suspectStateOf(books[0], kOne, now), SuspectState::Refused);
+	EXPECT_EQ(suspectStateOf(tables[0], kOne, now), SuspectState::Refused);
 }
 
-TEST(SuspectUpdate, GoRoundARingOnce)
+TEST(SuspectUpdate, PassesARingOnce)
 {
 	SuspectTable left;
 	SuspectTable right;
@@ -213,31 +215,31 @@
 	uint64_t toRight = 0;
 	uint64_t toLeft = 0;
 	TimeUs now = kStart + 5 * kSecond;
-	tell(left, toRight, right, now);
-	tell(right, toLeft, left, now += 100 * kMsToUs);
-	const uint64_t settled = left.changes + right.changes;
+	sendUpdates(left, toRight, right, now);
+	sendUpdates(right, toLeft, left, now += 100 * kMsToUs);
+	const uint64_t synced = left.changes + right.changes;
 	for (int ii = 0; ii < 5; ++ii)
 	{
-		tell(left, toRight, right, now += 100 * kMsToUs);
-		tell(right, toLeft, left, now += 100 * kMsToUs);
+		sendUpdates(left, toRight, right, now += 100 * kMsToUs);
+		sendUpdates(right, toLeft, left, now += 100 * kMsToUs);
 	}
-	EXPECT_EQ(left.changes + right.changes, settled);
+	EXPECT_EQ(left.changes + right.changes, synced);
 }
 
-TEST(SuspectUpdate, AClearedOneIsClearedEverywhereAndLateNewsOfItAreOld)
+TEST(SuspectUpdate, AClearedOneIsClearedEverywhereAndLateUpdatesOfItHaveNoEffect)
 {
 	SuspectTable left;
 	SuspectTable right;
 	refusedAfter(left, kOne, 3);
-	uint64_t told = 0;
-	tell(left, told, right, kStart + 5 * kSecond);
+	uint64_t sent = 0;
+	sendUpdates(left, sent, right, kStart + 5 * kSecond);
 	SuspectTable late = left;
 	clearSuspect(right, kOne, kStart + 6 * kSecond);
 	uint64_t back = 0;
-	tell(right, back, left, kStart + 7 * kSecond);
+	sendUpdates(right, back, left, kStart + 7 * kSecond);
 	EXPECT_EQ(suspectStateOf(left, kOne, kStart + 7 * kSecond), SuspectState::Unknown);
 	uint64_t fromLate = 0;
-	tell(late, fromLate, right, kStart + 7 * kSecond);
+	sendUpdates(late, fromLate, right, kStart + 7 * kSecond);
 	EXPECT_EQ(suspectStateOf(right, kOne, kStart + 7 * kSecond), SuspectState::Unknown);
 }
 
@@ -249,11 +251,11 @@
 	{
 		recordCrash(left, RequestDigest{9, ii}, std::string(1000, 'x'), crashAt(kStart, ii), kStart);
 	}
-	uint64_t told = 0;
-	constexpr size_t kMostBytes = 16u << 10;
+	uint64_t sent = 0;
+	constexpr size_t kMaxBytes = 16u << 10;
 	for (int ii = 0; ii < 3; ++ii)
 	{
-		EXPECT_LE(tell(left, told, right, kStart), kMostBytes);
+		EXPECT_LE(sendUpdates(left, sent, right, kStart), kMaxBytes);
 	}
 	EXPECT_EQ(right.suspects.size(), 3 * kMaxSuspectUpdates);
 }
--- a/tests/core/hall_evacuation_test.cpp
+++ b/tests/core/hall_evacuation_test.cpp
@@ -1,4 +1,4 @@
-/// Evacuated halls: orders, removals and lists in any order, and what they do to the choice of upstreams.
+/// Evacuated halls: orders, withdrawals and lists in any order, and their effect on the choice of upstreams.
 #include "spanplank/hall_evacuation.h"
 
 #include <fmt/format.h>
@@ -46,7 +46,7 @@
 	}
 };
 
-TEST_F(Evacuation, AnEvacuatedHallGetsNothingOfAnyServiceUntilItIsTakenBack)
+TEST_F(Evacuation, AnEvacuatedHallGetsNothingOfAnyServiceUntilTheOrderIsWithdrawn)
 {
 	const UpstreamId near = add("near", "a");
 	add("far", "b");
@@ -55,14 +55,14 @@
 	evacuateHall(table.halls, "a", 5);
 	EXPECT_EQ(pick(query("a")), "far");
 	EXPECT_EQ(pick(query("a", "app")), "");
-	EXPECT_FALSE(maySendTo(table, near, 0)) << "looked at again before the first byte leaves";
+	EXPECT_FALSE(maySendTo(table, near, 0)) << "checked again before the first byte is sent";
 	reopenHall(table.halls, "a", 6);
 	EXPECT_EQ(pick(query("a")), "near");
 	EXPECT_EQ(pick(query("a", "app")), "plain");
 	EXPECT_TRUE(maySendTo(table, near, 0));
 }
 
-TEST_F(Evacuation, WithAllHallsEvacuatedARequestIsRefusedWithATimeToComeBack)
+TEST_F(Evacuation, WithAllHallsEvacuatedARequestIsRefusedWithARetryTime)
 {
 	add("one", "a");
 	add("two", "b");
@@ -75,7 +75,7 @@
 	const FinalAnswer last = finalAnswer({}, AttemptEnd::NotSent, why, 1.0, 0);
 	EXPECT_EQ(first.status, status::kUnavailable);
 	EXPECT_GT(first.retryAfterMs, 0u);
-	EXPECT_GT(last.retryAfterMs, first.retryAfterMs) << "callers are spread";
+	EXPECT_GT(last.retryAfterMs, first.retryAfterMs) << "the retries of callers are spread";
 	EXPECT_EQ(noUpstreamReason(table, query("a", "none"), 0), NoUpstream::None);
 }
 
@@ -94,17 +94,17 @@
 	EXPECT_FALSE(isValid(pickDirectUpstream(table, query("a"), soon, random)));
 }
 
-/// Whatever part of the store's history comes, in whatever order, the newest word on a hall is in force.
-RC_GTEST_PROP(HallOrders, TheNewestWordOfTheStoreIsInForceInAnyOrder, ())
+/// Whatever part of the store's history arrives, in whatever order, the newest state of a hall is in force.
+RC_GTEST_PROP(HallOrders, TheNewestStateInTheStoreIsInForceInAnyOrder, ())
 {
-	struct Word
+	struct Order
 	{
 		size_t hall;
 		bool evacuated;
 	};
-	std::vector<Word> history; // The revision of each is its place, from 1.
+	std::vector<Order> history; // The revision of each is its position, from 1.
 	HallOrders orders;
-	std::vector<uint64_t> newest(kHalls, 0); // Of the revisions that were told, by hall.
+	std::vector<uint64_t> newest(kHalls, 0); // Newest received revision, by hall.
 	for (int ii = 0; ii < 30; ++ii)
 	{
 		history.push_back({*rc::gen::inRange<size_t>(0, kHalls), *rc::gen::arbitrary<bool>()});
@@ -133,9 +133,9 @@
 		}
 		else
 		{
-			const Word word = history[revision - 1];
-			newest[word.hall] = std::max(newest[word.hall], revision);
-			(word.evacuated ? evacuateHall : reopenHall)(orders, hallName(word.hall), revision);
+			const Order order = history[revision - 1];
+			newest[order.hall] = std::max(newest[order.hall], revision);
+			(order.evacuated ? evacuateHall : reopenHall)(orders, hallName(order.hall), revision);
 		}
 		for (size_t hall = 0; hall < kHalls; ++hall)
 		{
--- a/tests/core/home_share_test.cpp
+++ b/tests/core/home_share_test.cpp
@@ -1,4 +1,4 @@
-/// Where parts of prompts were read, told from router to router.
+/// Exchange of prompt homes between routers.
 #include "spanplank/home_share.h"
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
 	}
 };
 
-/// Carries what two neighbours have to tell each other. @param[in] _link Of the child, at the parent.
+/// Exchanges the pending homes of two neighbours. @param[in] _link Link of the child at the parent.
 void exchange(Router& _child, Router& _parent, uint32_t _link)
 {
 	collectOwnHomes(_child.share, _child.table);
@@ -62,28 +62,28 @@
 	const UpstreamId other{(usual.idx + 1) % 3};
 	recordSent(left.table, other, left.query(), kNow);
 	recordEnded(left.table, other, 0.0, HealthOutcome::None, kNow);
-	EXPECT_EQ(parent.pick(random).idx, usual.idx) << "it has not heard yet, and goes by the hash order";
+	EXPECT_EQ(parent.pick(random).idx, usual.idx) << "it has received nothing yet and uses the hash order";
 	exchange(left, parent, 1);
 	exchange(right, parent, 2);
 	EXPECT_EQ(parent.pick(random).idx, other.idx);
 	EXPECT_EQ(right.pick(random).idx, other.idx);
 }
 
-TEST(HomeShare, WhatANeighbourToldDoesNotComeBackToIt)
+TEST(HomeShare, HomesAreNotSentBackToTheirSender)
 {
 	Router parent;
 	Router child;
 	exchange(child, parent, 1);
 	recordSent(child.table, UpstreamId{0}, child.query(), kNow);
 	collectOwnHomes(child.share, child.table);
-	const std::vector<NewHome> told = homesForParent(child.share);
-	EXPECT_EQ(told, (std::vector<NewHome>{{kPart, keyOf("u-one")}}));
-	applyHomes(parent.share, parent.table, 1, told, kNow);
+	const std::vector<NewHome> sent = homesForParent(child.share);
+	EXPECT_EQ(sent, (std::vector<NewHome>{{kPart, keyOf("u-one")}}));
+	applyHomes(parent.share, parent.table, 1, sent, kNow);
 	EXPECT_TRUE(homesForChild(parent.share, 1).empty());
-	EXPECT_TRUE(homesForParent(child.share).empty()) << "it is told once";
+	EXPECT_TRUE(homesForParent(child.share).empty()) << "it is sent once";
 }
 
-TEST(HomeShare, ANeighbourThatTakesNothingCostsBoundedMemoryAndUnknownUpstreamsAreIgnored)
+TEST(HomeShare, TheOutboxIsBoundedAndUnknownUpstreamsAreIgnored)
 {
 	Router router;
 	homesForChild(router.share, 1);
@@ -95,17 +95,17 @@
 	EXPECT_EQ(homesForChild(router.share, 1).size(), kMaxUnsentHomes);
 }
 
-TEST(HomeShare, APartThatIsSentToTheSameUpstreamAgainSoonIsNoNews)
+TEST(HomeShare, APartThatIsSentToTheSameUpstreamAgainSoonIsNotReported)
 {
 	Router router;
 	recordSent(router.table, UpstreamId{0}, router.query(), kNow);
 	recordSent(router.table, UpstreamId{0}, router.query(), kNow + 1000 * kMsToUs);
 	EXPECT_EQ(router.table.newHomes.size(), 1u);
 	recordSent(router.table, UpstreamId{0}, router.query(), kNow + 6000 * kMsToUs);
-	EXPECT_EQ(router.table.newHomes.size(), 2u) << "the others would forget it otherwise";
+	EXPECT_EQ(router.table.newHomes.size(), 2u) << "it would expire at the others otherwise";
 }
 
-TEST(HomeShare, MessagesOfEarlierVersionsTellNoLoadsAndNoHomes)
+TEST(HomeShare, MessagesOfEarlierVersionsHaveNoLoadsAndNoHomes)
 {
 	const auto ping = nlohmann::json::parse(R"([3, {"u": [5, 1]}])").get<PeerPing>();
 	EXPECT_EQ(ping.seq, 3u);
--- a/tests/core/load_share_test.cpp
+++ b/tests/core/load_share_test.cpp
@@ -1,4 +1,4 @@
-/// Sums of loads along the tree of routers, told as changes.
+/// Sums of loads along the tree of routers, sent as changes.
 #include "spanplank/load_share.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 	return "u" + std::to_string(_idx);
 }
 
-/// One router: its table and what it shares.
+/// One router with its table and its shared load.
 struct Router
 {
 	UpstreamTable table;
@@ -30,14 +30,15 @@
 		}
 	}
 
-	void has(uint32_t _upstream, uint32_t _inFlight, double _prefillMs)
+	void setLoad(uint32_t _upstream, uint32_t _inFlight, double _prefillMs)
 	{
 		table.entries.at(_upstream).inFlight = _inFlight;
 		table.entries.at(_upstream).prefillMs = _prefillMs;
 	}
 };
 
-/// One ping and its answer. @param[in] _link Of the child, at the parent. @returns Changes told both ways.
+/// One ping and its answer. @param[in] _link Link of the child at the parent.
+/// @returns Number of changes sent in both directions.
 size_t exchange(Router& _child, Router& _parent, uint32_t _link, TimeUs _now)
 {
 	applyPeerLoads(_child.share, _child.table, _now);
@@ -52,7 +53,7 @@
 	return up.size() + down.size();
 }
 
-/// A chain of three with two leaves at its middle.
+/// A root, its child, and two children of that child.
 struct Chain
 {
 	Router top;
@@ -60,16 +61,16 @@
 	Router left;
 	Router right;
 
-	/// So often that all has reached all. @returns Changes told in the last round.
-	size_t settle(TimeUs _now)
+	/// Exchanges until all changes have reached all routers. @returns Changes sent in the last round.
+	size_t exchangeAll(TimeUs _now)
 	{
-		size_t told = 0;
+		size_t sent = 0;
 		for (int round = 0; round < 4; ++round)
 		{
-			told = exchange(left, middle, 1, _now) + exchange(right, middle, 2, _now) +
+			sent = exchange(left, middle, 1, _now) + exchange(right, middle, 2, _now) +
 				   exchange(middle, top, 7, _now);
 		}
-		return told;
+		return sent;
 	}
 
 	std::vector<Router*> all()
@@ -78,17 +79,17 @@
 	}
 };
 
-RC_GTEST_PROP(LoadShare, AfterAnyChangesEachRouterHearsTheSumOfAllOthersAndThenNothingMore, ())
+RC_GTEST_PROP(LoadShare, AfterAnyChangesEachRouterReceivesTheSumOfAllOthersAndThenNothingMore, ())
 {
 	Chain chain;
 	for (int step = 0; step < 5; ++step)
 	{
 		for (Router* router : chain.all())
 		{
-			router->has(*rc::gen::inRange<uint32_t>(0, kUpstreams), *rc::gen::inRange<uint32_t>(0, 3),
-						double(*rc::gen::inRange(0, 500)));
+			router->setLoad(*rc::gen::inRange<uint32_t>(0, kUpstreams), *rc::gen::inRange<uint32_t>(0, 3),
+							double(*rc::gen::inRange(0, 500)));
 		}
-		RC_ASSERT(chain.settle(kNow + step) == 0u);
+		RC_ASSERT(chain.exchangeAll(kNow + step) == 0u);
 	}
 	for (uint32_t idx = 0; idx < kUpstreams; ++idx)
 	{
@@ -107,39 +108,39 @@
 	}
 }
 
-TEST(LoadShare, OnlyWhatChangedIsTold)
+TEST(LoadShare, OnlyChangesAreSent)
 {
 	Router child;
 	Router parent;
-	child.has(0, 1, 100.0);
-	child.has(1, 1, 100.0);
+	child.setLoad(0, 1, 100.0);
+	child.setLoad(1, 1, 100.0);
 	EXPECT_EQ(exchange(child, parent, 1, kNow), 2u);
 	EXPECT_EQ(exchange(child, parent, 1, kNow), 0u);
-	child.has(1, 2, 150.0);
+	child.setLoad(1, 2, 150.0);
 	EXPECT_EQ(exchange(child, parent, 1, kNow), 1u);
 	EXPECT_EQ(parent.table.entries.at(1).others.prefillMs, 150.0);
-	child.has(0, 0, 0.0);
+	child.setLoad(0, 0, 0.0);
 	EXPECT_EQ(exchange(child, parent, 1, kNow), 1u) << "an end is a change too";
 	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 0u);
 }
 
-TEST(LoadShare, WhatWasToldLongAgoCountsNoMoreUntilTheNeighbourTellsAgain)
+TEST(LoadShare, OutdatedLoadsAreExcludedUntilTheNeighbourReportsAgain)
 {
 	Router child;
 	Router parent;
-	child.has(0, 2, 50.0);
+	child.setLoad(0, 2, 50.0);
 	exchange(child, parent, 1, kNow);
 	applyPeerLoads(parent.share, parent.table, kNow + kLoadLifetime);
 	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 0u);
 	exchange(child, parent, 1, kNow + 2 * kLoadLifetime);
-	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 2u) << "nothing changed, and it counts again";
+	EXPECT_EQ(parent.table.entries.at(0).others.inFlight, 2u) << "included again without a change";
 }
 
-TEST(LoadShare, ANeighbourThatIsGoneLeavesNothingAndANewLinkBeginsAnew)
+TEST(LoadShare, TheLoadOfALostNeighbourIsRemovedAndANewLinkStartsFromZero)
 {
 	Router child;
 	Router parent;
-	child.has(0, 2, 50.0);
+	child.setLoad(0, 2, 50.0);
 	exchange(child, parent, 1, kNow);
 	removeLoads(parent.share, parent.share.children[1]);
 	parent.share.children.erase(1);
@@ -156,30 +157,30 @@
 	Router parent;
 	for (uint32_t idx = 0; idx < 1000; ++idx)
 	{
-		const std::vector<LoadChange> came{{keyOf(upstreamName(idx)), {10, 1}}};
-		const std::vector<LoadChange> went{{keyOf(upstreamName(idx)), {0, 0}}};
-		applyLoads(parent.share, parent.share.children[1], came, kNow);
+		const std::vector<LoadChange> begun{{keyOf(upstreamName(idx)), {10, 1}}};
+		const std::vector<LoadChange> ended{{keyOf(upstreamName(idx)), {0, 0}}};
+		applyLoads(parent.share, parent.share.children[1], begun, kNow);
 		applyPeerLoads(parent.share, parent.table, kNow);
-		applyLoads(parent.share, parent.share.children[1], went, kNow);
+		applyLoads(parent.share, parent.share.children[1], ended, kNow);
 		applyPeerLoads(parent.share, parent.table, kNow);
 	}
 	EXPECT_LT(parent.share.sum.size(), 200u);
 	EXPECT_TRUE(parent.share.children[1].loads.empty());
 }
 
-TEST(LoadShare, InARingWithAnIsolatedRouterNothingAddsUpRoundByRound)
+TEST(LoadShare, InARingWithAnIsolatedRouterSumsDoNotGrow)
 {
-	Router cutOff;
+	Router isolated;
 	Router other;
-	cutOff.share.isolated = true;
-	cutOff.has(0, 1, 100.0);
-	other.has(0, 1, 40.0);
+	isolated.share.isolated = true;
+	isolated.setLoad(0, 1, 100.0);
+	other.setLoad(0, 1, 40.0);
 	for (int round = 0; round < 50; ++round)
 	{
-		exchange(cutOff, other, 1, kNow); // Each follows the other.
-		exchange(other, cutOff, 1, kNow);
+		exchange(isolated, other, 1, kNow); // Each follows the other.
+		exchange(other, isolated, 1, kNow);
 	}
-	EXPECT_LE(cutOff.table.entries.at(0).others.prefillMs, 280.0) << "each twice at most";
+	EXPECT_LE(isolated.table.entries.at(0).others.prefillMs, 280.0) << "each twice at most";
 	EXPECT_LE(other.table.entries.at(0).others.prefillMs, 280.0);
 }
 } // namespace
--- a/tests/core/upstream_table_test.cpp
+++ b/tests/core/upstream_table_test.cpp
@@ -1,4 +1,4 @@
-/// Upstreams of direct mode: registrations, outages of the store, health by own traffic, the choice.
+/// Upstreams of direct mode: registrations, store outages, health and choice.
 #include "spanplank/upstream_table.h"
 
 #include <fmt/format.h>
@@ -41,8 +41,8 @@
 		return isValid(id) ? table.entries.at(id.idx).record.id : "";
 	}
 
-	/// The store proves nothing between two moments, and this process runs all the time.
-	void beAway(TimeUs _from, TimeUs _to)
+	/// Simulates a store outage during which this process keeps running.
+	void simulateOutage(TimeUs _from, TimeUs _to)
 	{
 		noteStoreProof(table.contact, _from, _from);
 		for (TimeUs now = _from; now < _to; now += kContactStepMs * kMsToUs)
@@ -59,16 +59,16 @@
 	}
 };
 
-TEST_F(TableTest, AnUpstreamThatLeavesGetsNothingAndDoesNotComeBackUnderItsId)
+TEST_F(TableTest, ADrainingUpstreamGetsNothingAndStaysDrainingUnderItsId)
 {
-	UpstreamRecord leaving = record("one");
-	registerUpstream(table, leaving);
+	UpstreamRecord draining = record("one");
+	registerUpstream(table, draining);
 	EXPECT_EQ(pick(query(), 0), "one");
-	leaving.draining = true;
-	registerUpstream(table, leaving);
+	draining.draining = true;
+	registerUpstream(table, draining);
 	EXPECT_EQ(pick(query(), 0), "");
-	leaving.draining = false;
-	registerUpstream(table, leaving);
+	draining.draining = false;
+	registerUpstream(table, draining);
 	EXPECT_EQ(pick(query(), 0), "");
 }
 
@@ -84,71 +84,71 @@
 	const UpstreamId far = registerUpstream(table, record("far", "b"));
 	EXPECT_EQ(pick(limited, 0), "far");
 	recordSent(table, far, limited, 0);
-	EXPECT_TRUE(table.newHomes.empty()) << "told to routers of other regions";
+	EXPECT_TRUE(table.newHomes.empty()) << "sent to routers of other regions";
 	limited.limit = {};
 	recordSent(table, far, limited, 20 * kSecond);
 	EXPECT_EQ(table.newHomes.size(), 1u);
 }
 
-TEST_F(TableTest, ARegistrationThatGoesInCalmTimesEndsAtOnce)
+TEST_F(TableTest, ARegistrationRemovedWhileTheStoreIsReachableEndsAtOnce)
 {
 	registerUpstream(table, record("one"));
 	unregisterUpstream(table, "one", 10 * kSecond);
 	EXPECT_EQ(pick(query(), 10 * kSecond), "");
 }
 
-TEST_F(TableTest, ARegistrationThatGoesInAnOutageIsGivenTimeToReturnAndThenEnds)
+TEST_F(TableTest, ARegistrationRemovedInAnOutageHasAGracePeriodAndThenEnds)
 {
 	registerUpstream(table, record("one"));
-	beAway(5 * kSecond, 10 * kSecond);
+	simulateOutage(5 * kSecond, 10 * kSecond);
 	replaceRegistrations(table, {}, 10 * kSecond);
 	EXPECT_EQ(pick(query(), 10 * kSecond + 1700 * kMsToUs), "one");
-	EXPECT_EQ(pick(query(), 10 * kSecond + 1800 * kMsToUs), "") << "it may have left: the bound is 2 s";
+	EXPECT_EQ(pick(query(), 10 * kSecond + 1800 * kMsToUs), "") << "it may have shut down: the bound is 2 s";
 	registerUpstream(table, record("one"));
 	EXPECT_EQ(pick(query(), 13 * kSecond), "one");
 }
 
-TEST_F(TableTest, WhereTheBoundIsLongAnUpstreamHasAsLongToReturnAsLiveOnesTake)
+TEST_F(TableTest, WithALongDrainBoundTheGracePeriodIsThatOfRunningUpstreams)
 {
 	table.drainBound = 10 * kSecond;
 	registerUpstream(table, record("one"));
-	beAway(5 * kSecond, 10 * kSecond);
+	simulateOutage(5 * kSecond, 10 * kSecond);
 	replaceRegistrations(table, {}, 10 * kSecond);
 	EXPECT_EQ(pick(query(), 12 * kSecond), "one");
 	EXPECT_EQ(pick(query(), 13 * kSecond), "");
 }
 
-TEST_F(TableTest, ALapsedUpstreamThatMayHaveLeftIsNotUsedBesideOthersUpToTheBound)
+TEST_F(TableTest, ALapsedUpstreamIsUsedBesideOthersOnlyForAShareOfTheBound)
 {
 	registerUpstream(table, record("lapsed"));
 	registerUpstream(table, record("other", "b"));
-	beAway(5 * kSecond, 10 * kSecond);
+	simulateOutage(5 * kSecond, 10 * kSecond);
 	unregisterUpstream(table, "lapsed", 10 * kSecond);
 	EXPECT_EQ(pick(query(), 11 * kSecond), "lapsed");
 	EXPECT_EQ(pick(query(), 10 * kSecond + 1700 * kMsToUs), "other");
 }
 
-TEST_F(TableTest, TheTimeToReturnCountsFromTheStoresReturnAndNotFromWhenTheRegistrationWasMissed)
+TEST_F(TableTest, TheGracePeriodCountsFromTheEndOfTheOutageAndNotFromTheLossOfTheRegistration)
 {
 	registerUpstream(table, record("one"));
-	beAway(5 * kSecond, 10 * kSecond);
+	simulateOutage(5 * kSecond, 10 * kSecond);
 	unregisterUpstream(table, "one", 10 * kSecond + 900 * kMsToUs);
 	EXPECT_EQ(pick(query(), 10 * kSecond + 1700 * kMsToUs), "one");
 	EXPECT_EQ(pick(query(), 10 * kSecond + 1800 * kMsToUs), "");
 }
 
-TEST_F(TableTest, AnUpstreamThatSaidThatItLeavesIsNotUsedAfterAnOutageEither)
+TEST_F(TableTest, ADrainingUpstreamIsNotUsedAfterAnOutageEither)
 {
-	UpstreamRecord leaving = record("one");
-	leaving.draining = true;
+	UpstreamRecord draining = record("one");
+	draining.draining = true;
 	registerUpstream(table, record("one"));
-	registerUpstream(table, leaving);
-	beAway(5 * kSecond, 10 * kSecond);
+	registerUpstream(table, draining);
+	simulateOutage(5 * kSecond, 10 * kSecond);
 	unregisterUpstream(table, "one", 10 * kSecond);
 	EXPECT_EQ(pick(query(), 10 * kSecond), "");
 }
 
-TEST_F(TableTest, WhatWasChosenMayBeSentWhileTheUpstreamIsThereOrMayReturn)
+TEST_F(TableTest, ARequestMayBeSentWhileItsUpstreamIsRegisteredOrInItsGracePeriod)
 {
 	const UpstreamId one = registerUpstream(table, record("one"));
 	const UpstreamId two = registerUpstream(table, record("two"));
@@ -156,13 +156,13 @@
 	EXPECT_FALSE(maySendTo(table, UpstreamId{99}, 0));
 	unregisterUpstream(table, "one", kSecond);
 	EXPECT_FALSE(maySendTo(table, one, kSecond));
-	beAway(5 * kSecond, 10 * kSecond);
+	simulateOutage(5 * kSecond, 10 * kSecond);
 	unregisterUpstream(table, "two", 10 * kSecond);
-	EXPECT_TRUE(maySendTo(table, two, 10 * kSecond + 1700 * kMsToUs)) << "chosen as there was none else";
+	EXPECT_TRUE(maySendTo(table, two, 10 * kSecond + 1700 * kMsToUs)) << "chosen as there was no other";
 	EXPECT_FALSE(maySendTo(table, two, 10 * kSecond + 1800 * kMsToUs));
-	UpstreamRecord leaving = record("three");
-	leaving.draining = true;
-	EXPECT_FALSE(maySendTo(table, registerUpstream(table, leaving), 0));
+	UpstreamRecord draining = record("three");
+	draining.draining = true;
+	EXPECT_FALSE(maySendTo(table, registerUpstream(table, draining), 0));
 }
 
 TEST_F(TableTest, AnUnreachableUpstreamIsAvoidedAndTriedAgainByOneRepeatableRequest)
@@ -172,12 +172,12 @@
 	fail(bad, HealthOutcome::Unreachable, 0);
 	EXPECT_EQ(pick(query(), 1), "good");
 	const TimeUs later = 3 * kSecond;
-	EXPECT_EQ(pick(query(), later), "good") << "a request that can't be repeated is no trial";
+	EXPECT_EQ(pick(query(), later), "good") << "a request that can't be repeated is no probe";
 	UpstreamQuery repeatable = query();
 	repeatable.repeatable = true;
 	EXPECT_EQ(pick(repeatable, later), "bad");
 	recordSent(table, bad, repeatable, later);
-	EXPECT_EQ(pick(repeatable, later), "good") << "one trial at a time";
+	EXPECT_EQ(pick(repeatable, later), "good") << "one probe at a time";
 	EXPECT_EQ(recordEnded(table, bad, 0.0, HealthOutcome::Good, later), HealthChange::Returned);
 	EXPECT_EQ(pick(query(), later), "bad");
 }
@@ -189,21 +189,21 @@
 	EXPECT_EQ(pick(query(), 1), "only");
 }
 
-TEST_F(TableTest, ARateThatServicesHaveByThemselvesDoesNotEject)
+TEST_F(TableTest, TheUsualFailureRateOfAServiceDoesNotEject)
 {
 	const UpstreamId one = registerUpstream(table, record("one"));
 	registerUpstream(table, record("two", "b"));
-	Random luck{7};
+	Random chance{7};
 	uint32_t ejected = 0;
 	for (uint32_t ii = 0; ii < 2000; ++ii)
 	{
-		fail(one, nextUnit(luck) < 0.14 ? HealthOutcome::Failed : HealthOutcome::Good, ii * kSecond);
+		fail(one, nextUnit(chance) < 0.14 ? HealthOutcome::Failed : HealthOutcome::Good, ii * kSecond);
 		ejected += table.entries.at(one.idx).health.ejections > 0 ? 1 : 0;
 	}
 	EXPECT_LT(ejected, 100u);
 }
 
-TEST_F(TableTest, RequestsThatShareAPromptPartMeetAtOneUpstreamUntilItIsLoaded)
+TEST_F(TableTest, RequestsThatShareAPromptPartGoToOneUpstreamUntilItIsLoaded)
 {
 	for (int ii = 0; ii < 6; ++ii)
 	{
@@ -211,7 +211,7 @@
 	}
 	UpstreamQuery shared = query();
 	shared.shared = {{42, 4000}};
-	shared.ownTokens = 2000; // Read anew each time.
+	shared.ownTokens = 2000; // Read again each time.
 	const std::string home = pick(shared, 0);
 	for (int ii = 0; ii < 20; ++ii)
 	{
@@ -225,7 +225,7 @@
 	EXPECT_NE(pick(shared, 0), home);
 }
 
-TEST_F(TableTest, AKeptFirstPartDoesNotTieAPromptToALoadedHome)
+TEST_F(TableTest, ACachedFirstPartDoesNotBindAPromptToALoadedHome)
 {
 	for (int ii = 0; ii < 4; ++ii)
 	{
@@ -235,23 +235,23 @@
 	prompt.shared = {{7, 2000}, {8, 2000}};
 	UpstreamQuery sibling = query();
 	sibling.shared = {{7, 2000}, {9, 2000}};
-	// An upstream that is the first of neither order, so that nothing is presumed of it.
+	// An upstream that is presumed to have cached neither prompt.
 	UpstreamId home;
-	const double whole = prefillMsAt(table, prompt, UpstreamId{99}, 0);
+	const double uncachedMs = prefillMsAt(table, prompt, UpstreamId{99}, 0);
 	for (uint32_t ii = 0; ii < 4; ++ii)
 	{
-		const bool plain = prefillMsAt(table, prompt, UpstreamId{ii}, 0) == whole &&
-						   prefillMsAt(table, sibling, UpstreamId{ii}, 0) == whole;
+		const bool plain = prefillMsAt(table, prompt, UpstreamId{ii}, 0) == uncachedMs &&
+						   prefillMsAt(table, sibling, UpstreamId{ii}, 0) == uncachedMs;
 		home = plain ? UpstreamId{ii} : home;
 	}
 	ASSERT_TRUE(isValid(home));
-	EXPECT_EQ(recordSent(table, home, prompt, 0), whole);
-	EXPECT_EQ(prefillMsAt(table, prompt, home, 1), 0.0) << "both parts are kept now";
-	EXPECT_NEAR(prefillMsAt(table, sibling, home, 1), whole / 2, 1.0)
-		<< "the first part is kept, the second is not";
+	EXPECT_EQ(recordSent(table, home, prompt, 0), uncachedMs);
+	EXPECT_EQ(prefillMsAt(table, prompt, home, 1), 0.0) << "both parts are cached now";
+	EXPECT_NEAR(prefillMsAt(table, sibling, home, 1), uncachedMs / 2, 1.0)
+		<< "the first part is cached, the second is not";
 }
 
-TEST_F(TableTest, TheFirstOfTheOrderIsPresumedToKeepMostOfWhatOthersSentThere)
+TEST_F(TableTest, TheFirstOfTheOrderIsPresumedToHaveCachedMostOfWhatOthersSentThere)
 {
 	for (int ii = 0; ii < 4; ++ii)
 	{
@@ -261,12 +261,12 @@
 	prompt.shared = {{7, 2000}, {8, 2000}};
 	prompt.ownTokens = 1000;
 	const UpstreamId home{table.idxOfId.at(pick(prompt, 0))};
-	const double whole = prefillMsAt(table, prompt, UpstreamId{99}, 0);
-	EXPECT_LT(prefillMsAt(table, prompt, home, 0), 0.4 * whole);
-	EXPECT_GT(prefillMsAt(table, prompt, home, 0), 0.2 * whole) << "its own part is read in any case";
+	const double uncachedMs = prefillMsAt(table, prompt, UpstreamId{99}, 0);
+	EXPECT_LT(prefillMsAt(table, prompt, home, 0), 0.4 * uncachedMs);
+	EXPECT_GT(prefillMsAt(table, prompt, home, 0), 0.2 * uncachedMs) << "its own part is read in any case";
 }
 
-TEST_F(TableTest, AHomeThatWouldBeLateIsLeftForOneThatIsInTime)
+TEST_F(TableTest, AnUpstreamThatIsInTimeIsPreferredToAHomeThatWouldBeLate)
 {
 	for (int ii = 0; ii < 4; ++ii)
 	{
@@ -277,16 +277,16 @@
 	prompt.ownTokens = 1000;
 	const std::string home = pick(prompt, 0);
 	table.receivesPeerUpdates = true;
-	// At 0.02 ms a token: 26 ms of reading and 61 of waiting there; 44 or more of reading elsewhere.
+	// At 0.02 ms a token: 26 ms of prefill and 61 of waiting there; 44 or more of prefill elsewhere.
 	table.entries.at(table.idxOfId.at(home)).others = {60.0, 4};
 	EXPECT_EQ(pick(prompt, 0), home) << "reading it elsewhere costs more than this wait";
 	prompt.firstTokenTargetMs = 80.0;
 	EXPECT_NE(pick(prompt, 0), home);
 	prompt.firstTokenTargetMs = 1.0;
-	EXPECT_NE(pick(prompt, 0), home) << "none is in time: the soonest";
+	EXPECT_NE(pick(prompt, 0), home) << "none is in time: the fastest";
 }
 
-TEST_F(TableTest, APromptCrossesToAnotherHallForALargeKeptPartOrToBeInTimeAndNotForLess)
+TEST_F(TableTest, APromptGoesToAnotherHallOnlyForALargeCachedPartOrToBeInTime)
 {
 	registerUpstream(table, record("near", "a"));
 	registerUpstream(table, record("far", "b"));
@@ -295,7 +295,7 @@
 	table.receivesPeerUpdates = true;
 	recordPeerHome(table, {7, keyOf("far")}, 0);
 	UpstreamQuery prompt = query();
-	prompt.shared = {{7, 3000}}; // 60 ms of reading at the pace before any was measured.
+	prompt.shared = {{7, 3000}}; // 60 ms of prefill at the initial estimate.
 	prompt.firstTokenTargetMs = 1000.0;
 	EXPECT_EQ(pick(prompt, 0), "near") << "reading it again costs less than the bytes";
 	prompt.shared = {{7, 13000}};
@@ -303,10 +303,11 @@
 	prompt.shared = {{7, 3000}};
 	table.entries.at(near.idx).prefillMs = 2000.0;
 	EXPECT_EQ(pick(prompt, 0), "far") << "the near one would be late";
-	EXPECT_NEAR(expectedFirstTokenMs(table, prompt, far, 0), 0.0, 1.0) << "its price is no time";
+	EXPECT_NEAR(expectedFirstTokenMs(table, prompt, far, 0), 0.0, 1.0)
+		<< "the cost of another hall is not time";
 }
 
-TEST_F(TableTest, WhatOtherRoutersHaveWaitingCountsForPrompts)
+TEST_F(TableTest, WorkQueuedByOtherRoutersCountsForPrompts)
 {
 	for (int ii = 0; ii < 4; ++ii)
 	{
@@ -321,7 +322,7 @@
 	EXPECT_GT(expectedWaitMs(table, UpstreamId{table.idxOfId.at(home)}), 500.0);
 }
 
-TEST_F(TableTest, AVersionCanBeAskedForOrExcluded)
+TEST_F(TableTest, AVersionCanBeRequiredOrExcluded)
 {
 	registerUpstream(table, record("old", "a", "v1"));
 	registerUpstream(table, record("new", "a", "v2"));
@@ -333,7 +334,7 @@
 	EXPECT_EQ(pick(versions, 0), "old");
 }
 
-TEST_F(TableTest, UpstreamsThatAreGoneAreForgotten)
+TEST_F(TableTest, UpstreamsThatAreGoneAreRemoved)
 {
 	registerUpstream(table, record("one"));
 	unregisterUpstream(table, "one", 0);
@@ -342,7 +343,7 @@
 	EXPECT_TRUE(table.idxOfId.empty());
 }
 
-TEST_F(TableTest, AnUpstreamThatStartsAgainUnderItsIdHasNothingOfTheOneBefore)
+TEST_F(TableTest, ANewIncarnationHasNoStateOfThePreviousOne)
 {
 	UpstreamRecord one = record("one");
 	one.startedAtMs = 1000;
@@ -357,21 +358,21 @@
 	one.draining = false;
 	one.startedAtMs = 2000;
 	const UpstreamId after = registerUpstream(table, one, 2 * kSecond);
-	EXPECT_FALSE(before == after) << "what a request has tried is another upstream";
+	EXPECT_FALSE(before == after) << "a request that tried the previous one may try the new one";
 	const UpstreamEntry& entry = table.entries.at(after.idx);
 	EXPECT_EQ(entry.inFlight, 0u);
 	EXPECT_EQ(entry.health.ejections, 0u);
 	EXPECT_NE(entry.key, table.entries.at(before.idx).key)
-		<< "loads and homes that others told are not its own";
+		<< "loads and homes that others reported for the previous one are not its own";
 	EXPECT_EQ(pick(query(), 2 * kSecond), "one");
 	EXPECT_FALSE(maySendTo(table, before, 2 * kSecond));
 	recordEnded(table, before, 0.0, HealthOutcome::Good, 3 * kSecond);
 	removeGoneUpstreams(table, 60 * kSecond);
 	EXPECT_EQ(table.entries.count(before.idx), 0u);
-	EXPECT_EQ(pick(query(), 60 * kSecond), "one") << "forgetting the one before keeps the new one's name";
+	EXPECT_EQ(pick(query(), 60 * kSecond), "one") << "removing the previous one keeps the id of the new one";
 }
 
-TEST_F(TableTest, ARecordOfAnOlderLifeChangesNothingByWhateverWayItComes)
+TEST_F(TableTest, ARecordOfAnOlderIncarnationHasNoEffectHoweverItArrives)
 {
 	UpstreamRecord one = record("one");
 	one.startedAtMs = 2000;
@@ -386,7 +387,7 @@
 	EXPECT_EQ(pick(query(), kSecond), "one");
 }
 
-TEST_F(TableTest, ARecordThatTellsNoStartIsTakenForTheOneThatIsKnown)
+TEST_F(TableTest, ARecordWithoutAStartTimeBelongsToTheKnownIncarnation)
 {
 	UpstreamRecord one = record("one");
 	one.startedAtMs = 2000;
@@ -397,7 +398,7 @@
 	EXPECT_EQ(pick(query(), 0), "");
 	one.draining = false;
 	registerUpstream(table, one);
-	EXPECT_EQ(pick(query(), 0), "") << "it has not started again";
+	EXPECT_EQ(pick(query(), 0), "") << "it has not restarted";
 }
 } // namespace
 } // namespace spanplank
