--- a/src/core/answer_times.cpp
+++ b/src/core/answer_times.cpp
@@ -1,4 +1,4 @@
-/// Newest times of answers, and ranks among them.
+/// Newest times of reference answers, and ranks among them.
 #include "spanplank/answer_times.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 {
 namespace
 {
-/// An answer is slow above so many times what most of the reference take.
+/// An answer is slow above this multiple of the reference time at `kUsualQuantile`.
 constexpr double kSlowFactor = 4.0;
 constexpr double kUsualQuantile = 0.75;
 
@@ -34,7 +34,7 @@
 	_ring.next = (_ring.next + 1) % kMaxTimes;
 }
 
-/// @returns The times of the last moments, or the newest ones where those are few; newest first.
+/// @returns The times within `kMaxComparedAge`, but at least the newest `kMinCompared` ones; newest first.
 std::vector<float> recentTimes(const TimeRing& _ring, TimeUs _now)
 {
 	std::vector<float> times;
@@ -52,7 +52,7 @@
 	return times;
 }
 
-/// @returns The value below or at which a share of the times lies.
+/// @returns The quantile of the times.
 float quantile(std::vector<float> _times, double _share)
 {
 	const auto rank = std::ptrdiff_t(_share * double(_times.size() - 1));
--- a/src/core/exposure.cpp
+++ b/src/core/exposure.cpp
@@ -8,7 +8,7 @@
 {
 namespace
 {
-/// log likelihood ratio of the tally: rate `_to` against rate `_from`.
+/// @returns The log likelihood ratio of the tally: bad rate `_to` against bad rate `_from`.
 double logRatio(const RatingTally& _tally, double _from, double _to)
 {
 	return double(_tally.bad) * std::log(_to / _from) +
@@ -26,7 +26,7 @@
 	const double base = clampRate(_rollout.badRate);
 	const std::array<double, 3> worse = {clampRate(std::max(_rollout.haltRate, base * 1.5)),
 										 clampRate(std::max(0.4, base * 1.5)), 0.95};
-	// A mean of martingales is a martingale: each worse rate gets a third of the stake.
+	// A mean of martingales is a martingale: each worse rate has a weight of one third.
 	double largest = std::numeric_limits<double>::lowest();
 	std::array<double, 3> logs{};
 	for (size_t ii = 0; ii < worse.size(); ++ii)
--- a/src/core/trial_evidence.cpp
+++ b/src/core/trial_evidence.cpp
@@ -1,4 +1,4 @@
-/// Rows of evidence: merging, sums, and what neighbours are told.
+/// Rows of evidence: merging, sums, and updates for neighbours.
 #include "spanplank/trial_evidence.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 	_sum.slow += _counts.slow;
 }
 
-/// @returns By how much a count has risen.
+/// @returns The increase of a count; 0 if it has not risen.
 uint32_t increase(uint32_t _from, uint32_t _to)
 {
 	return _to > _from ? _to - _from : 0;
@@ -70,7 +70,7 @@
 		   _counts.answeredUpstreams == 0 && _counts.failedUpstreams == 0;
 }
 
-/// The row is told to all neighbours after those that changed before it.
+/// Queues a row for all neighbours, after the rows that changed before it.
 void queueChange(TrialEvidence& _evidence, const EvidenceKey& _key, EvidenceEntry& _entry)
 {
 	_evidence.changes.erase(_entry.changeNumber);
@@ -86,7 +86,8 @@
 	add(_evidence.sums[_key.route][_key.interval], _increases);
 }
 
-/// This router's own rows that only answers of the settled version changed since they were told.
+/// Queues this router's own rows that only baseline answers have changed since they were last queued, at most
+/// once per `kBaselineSendPeriod`.
 void queueBaselineRows(TrialEvidence& _evidence, TimeUs _now)
 {
 	if (_now - _evidence.baselineSentAt < kBaselineSendPeriod)
@@ -126,7 +127,8 @@
 {
 	EvidenceEntry& entry = _evidence.rows[_key];
 	addTo(_evidence, _key, entry, _seen);
-	// Where the version was to have all requests, its share of the answers decides: both sides travel alike.
+	// In an interval with full traffic the version's share of all answers decides, so the answers of both
+	// versions are sent without delay.
 	if (!isEmpty(_seen.candidate) || isFullTraffic(_key.interval))
 	{
 		queueChange(_evidence, _key, entry);
--- a/src/core/trial_news.cpp
+++ b/src/core/trial_news.cpp
@@ -1,4 +1,4 @@
-/// Evidence of a trial: from this router's answers, from its neighbours, from the store's record.
+/// Evidence of a trial from this router's answers, from neighbours and from the progress record in the store.
 #include <algorithm>
 #include <fmt/format.h>
 
@@ -8,13 +8,14 @@
 {
 namespace
 {
-/// Of the settled version's answers, that count as quick.
+/// Share of the baseline's answers that count as quick.
 constexpr double kQuickShare = 0.25;
-/// The same once the new version has the load and the old one's times are of before.
-constexpr double kQuickShareFullTraffic = 0.75;
+/// The same from the start of the ramp on, when the baseline's times are older.
+constexpr double kQuickShareInRamp = 0.75;
 constexpr uint32_t kUpstreamBits = 64;
-constexpr uint32_t kNoNeighbour = 0;               ///< Source of rows that are told to all neighbours.
-constexpr TimeUs kProgressPeriod = 2000 * kMsToUs; ///< What a blank router may be wrong by.
+constexpr uint32_t kNoNeighbour = 0; ///< Source of rows that are sent to all neighbours.
+/// Age at which the progress record is rewritten: the error of a router that starts without state.
+constexpr TimeUs kProgressPeriod = 2000 * kMsToUs;
 constexpr TimeUs kProgressJitter = 1000 * kMsToUs;
 
 uint64_t bitOf(const std::string& _upstream)
@@ -28,7 +29,7 @@
 			_outcome == TrialOutcome::TimedOut ? 1u : 0u};
 }
 
-/// @returns How the times of a good answer rank among the newest of the settled version.
+/// @returns The ranks of a good answer's times among the newest of the baseline version.
 std::array<TimeCounts, kTimeKinds> ranksOf(const VersionTrial& _trial, const TrialAnswer& _answer,
 										   double _quickShare, TimeUs _now)
 {
@@ -47,10 +48,10 @@
 EvidenceCounts candidateEvidence(const VersionTrial& _trial, double _exposureShare,
 								 const TrialAnswer& _answer, TimeUs _now)
 {
-	const bool fullTraffic = rampProgress(_trial, _exposureShare, _answer.sentAt) > 0.0;
+	const bool ramping = rampProgress(_trial, _exposureShare, _answer.sentAt) > 0.0;
 	EvidenceCounts seen;
 	seen.candidate = countOf(_answer.outcome);
-	seen.candidateTimes = ranksOf(_trial, _answer, fullTraffic ? kQuickShareFullTraffic : kQuickShare, _now);
+	seen.candidateTimes = ranksOf(_trial, _answer, ramping ? kQuickShareInRamp : kQuickShare, _now);
 	const bool slow = std::any_of(seen.candidateTimes.begin(), seen.candidateTimes.end(),
 								  [](const TimeCounts& _times) { return _times.slow > 0; });
 	seen.answeredUpstreams = bitOf(_answer.upstream);
@@ -70,7 +71,7 @@
 	return seen;
 }
 
-/// Takes the rows that still count.
+/// Merges the rows of retained intervals.
 void applyRows(VersionTrial& _trial, const std::vector<EvidenceRow>& _rows, uint32_t _source, TimeUs _now)
 {
 	const uint32_t first = firstRetainedInterval(_trial, _now);
@@ -141,7 +142,7 @@
 	if (trial == nullptr || trial->orderRevision != _update.orderRevision ||
 		trial->state != RolloutState::Running)
 	{
-		return false; // Of another order, or settled.
+		return false; // The update belongs to another order, or the trial has ended.
 	}
 	trial->startedAt = std::min(trial->startedAt, _now - _update.elapsed);
 	if (_update.rampStartsIn)
@@ -156,7 +157,7 @@
 
 namespace
 {
-/// @returns Ranks of times of both kinds, for logs.
+/// @returns The ranks of both kinds of times, for logs.
 std::string describeTimes(const std::array<TimeCounts, kTimeKinds>& _times)
 {
 	const TimeCounts& firstToken = _times[size_t(TimeKind::FirstToken)];
@@ -165,8 +166,8 @@
 					   firstToken.slow, firstToken.timed, perToken.quick, perToken.slow, perToken.timed);
 }
 
-/// @returns The spans with times of the version on trial beside those of the settled one: what a halt by
-/// times has compared.
+/// @returns The intervals in which the candidate has times, with those of the baseline: the comparison behind
+/// a halt because of times.
 std::string describeIntervals(const IntervalSums& _intervals)
 {
 	std::string text;
@@ -189,11 +190,11 @@
 	const bool byTimes = _trial.fault == VersionFault::Slower || _trial.fault == VersionFault::OftenSlow;
 	for (const auto& [route, intervals] : _trial.evidence.sums)
 	{
-		const EvidenceCounts updates = sumIntervals(intervals);
+		const EvidenceCounts total = sumIntervals(intervals);
 		text += fmt::format("; {}: new {} good {} bad {} silent, {}, old {} good {} bad {} silent",
-							nameOf(_trial.evidence, route), updates.candidate.good, updates.candidate.bad,
-							updates.candidate.timedOut, describeTimes(updates.candidateTimes),
-							updates.baseline.good, updates.baseline.bad, updates.baseline.timedOut);
+							nameOf(_trial.evidence, route), total.candidate.good, total.candidate.bad,
+							total.candidate.timedOut, describeTimes(total.candidateTimes),
+							total.baseline.good, total.baseline.bad, total.baseline.timedOut);
 		text += byTimes ? describeIntervals(intervals) : "";
 	}
 	return text;
--- a/src/core/trial_schedule.cpp
+++ b/src/core/trial_schedule.cpp
@@ -1,4 +1,4 @@
-/// The schedule of a trial, with its constants.
+/// Schedule of a trial and its constants.
 #include "trial_schedule_p.h"
 
 #include <algorithm>
@@ -8,24 +8,30 @@
 namespace
 {
 // Parts of a roll-out's duration.
-constexpr double kTrialStartPart =
-	0.1; ///< The new version gets its first requests; its upstreams have started.
-constexpr double kSessionStartPart = 0.53; ///< Sessions keep the old version for the first half.
-
-// The bound on exposure is used up as follows, each as a part of it.
-/// Of the bound's share, until it is proved or should be: of sessions, which have the second half alone, and
-/// of requests without one.
+/// The new version gets its first requests; its upstreams have started by then.
+constexpr double kTrialStartPart = 0.1;
+/// The new version gets its first sessions, which stay on the baseline version for the first half.
+constexpr double kSessionStartPart = 0.53;
+
+// Parts of the exposure bound.
+/// Share of requests that an unverified version gets until the ramp is due: for sessions, which only have the
+/// second half of the trial, and for requests without a session. Afterwards it gets the whole bound.
 constexpr double kSessionBoundShare = 1.0;
 constexpr double kSingleBoundShare = 0.3;
-constexpr double kRampPart = 0.2;           ///< Duration in which the share of a proved version grows to all.
-constexpr double kFullTrafficPart = 0.45;   ///< Duration with all requests on it.
-constexpr double kUnboundedFromPart = 1.03; ///< Part of the duration from which the bound is over for sure.
-constexpr double kMinFullTrafficPart = 0.1; ///< Of that duration, before it is completed.
-
-/// Requests of sessions that a router may send to the version on trial above its share.
+/// Length of the ramp of a verified version to all requests, as a part of the bound times the duration.
+constexpr double kRampPart = 0.2;
+/// Time with all requests on the version until the deadline, as a part of the bound times the duration.
+constexpr double kFullTrafficPart = 0.45;
+/// Part of the duration after which the bound has ended at every router.
+constexpr double kUnboundedFromPart = 1.03;
+/// Minimum time with all requests before the completion, as a part of the bound times the duration.
+constexpr double kMinFullTrafficPart = 0.1;
+
+/// Session requests that a router may send to the version on trial above its share.
 constexpr double kMaxSessionExcess = 2.0;
 
-/// Of evidence, of a short trial: with a few requests a second less than 30 s of them prove nothing.
+/// Evidence that a short trial retains at least: with a few requests per second, less than 30 s of them
+/// verify nothing.
 constexpr TimeUs kMinRetained = 30000 * kMsToUs;
 constexpr TimeUs kMinIntervalLength = 1000 * kMsToUs;
 
@@ -34,7 +40,7 @@
 	return std::max(kMinIntervalLength, durationOf(_trial) / kIntervals);
 }
 
-/// What a request gets by time alone while the version is not proved.
+/// @returns The share of requests offered to an unverified version, which depends on the time alone.
 double unverifiedShare(const VersionTrial& _trial, double _exposureShare, bool _inSession, TimeUs _now)
 {
 	const bool overdue = elapsedPart(_trial, _now) >= rampStartPart(_exposureShare);
@@ -98,9 +104,9 @@
 	return minShare + (1.0 - minShare) * rampProgress(_trial, _exposureShare, _now);
 }
 
-/// Each router keeps the bound by its own count, so that the sum of all keeps it whatever each believes of
-/// the evidence or the others. After the deadline a proved version may have more: without all requests for a
-/// while routers that have started late could never complete it.
+/// Each router enforces the bound by its own count, so that their sum keeps it whatever each of them knows of
+/// the evidence or of the others. After the deadline a verified version may get more: routers that started
+/// late could otherwise never complete it, since that needs a while with all requests.
 bool mayExpose(const VersionTrial& _trial, double _exposureShare, ExposureKind _kind, TimeUs _now)
 {
 	const bool overdue = _trial.rampStartAt != 0 && elapsedPart(_trial, _now) >= kUnboundedFromPart;
@@ -110,9 +116,10 @@
 	{
 		return true;
 	}
-	// Chance alone takes a router of few requests above its share, and a session that the schedule has drawn
-	// must not move to and fro between its routers. The schedule draws no more than the share of what
-	// arrives, so that the sum keeps it as long as that reaches the service.
+	// Random variation alone takes a router with few requests above its share, and a session that the
+	// schedule has drawn must not switch back and forth between versions at its routers. The schedule draws
+	// no more than the share of the requests that arrive, so the sum keeps the bound as long as these reach
+	// the service.
 	const double maxExposed = std::min(share + kMaxSessionExcess, double(_trial.reached));
 	return _kind == ExposureKind::Session && double(_trial.exposed + 1) <= maxExposed;
 }
--- a/src/core/trial_verdict.cpp
+++ b/src/core/trial_verdict.cpp
@@ -1,4 +1,4 @@
-/// The tests behind a verdict, with their hypotheses.
+/// Sequential tests of a version on trial and their hypotheses.
 #include "spanplank/trial_verdict.h"
 
 #include <algorithm>
@@ -11,78 +11,89 @@
 {
 namespace
 {
-/// A version is bad above this score: a good one gets there in one of `exp(6)`, 400 tests.
+/// Score above which a version is bad. A good version exceeds it in one of `exp(6)`, or 400, tests.
 constexpr double kFaultThreshold = 6.0;
-/// The same of times, whose references of few answers blur ranks.
+/// The same for a version that is slower in all answers; higher, because ranks are imprecise while the
+/// reference has few answers.
 constexpr double kSlowerThreshold = 8.0;
-/// How quick a version is does not change by itself, but bursts of requests change all paces for a while.
-constexpr double kMaxPerTokenCredit = 3.0;
-/// What heads that are not quick add to such paces.
+/// Maximum credit that quick answers leave in a version's favour. A version doesn't become slower by itself,
+/// but bursts of requests change the time per token of all answers for a while.
+constexpr double kMaxQuickCredit = 3.0;
+/// Maximum that the score of the time to the first token adds to the score of the time per token.
 constexpr double kMaxFirstTokenScore = 3.0;
-constexpr double kMinRouteShare = 0.1; ///< Of the service's answers, from which a route has traffic.
-/// Of all answers while the version was to have all requests, that came from it: else it was not under load.
+/// Share of the service's answers from which a route counts as having traffic.
+constexpr double kMinRouteShare = 0.1;
+/// Minimum share of all answers that came from the version while it was to get all requests; with fewer it
+/// was not tested under load.
 constexpr double kMinFullTrafficShare = 0.75;
-constexpr double kMinWriterShare = 0.75;  ///< Of the answers that were heard before, each second.
-constexpr double kRecentThreshold = -1.0; ///< Of failures in the newest spans: 6 good answers.
-
-constexpr double kBadExcess = 0.15; ///< By how much a bad version fails more often than the settled one.
-/// Crashes and queues silence up to a quarter of a good version's few answers: so much more than the settled
-/// version's share is still good ...
+/// Minimum number of writers of recent rows, as a share of those of any earlier part of the trial.
+constexpr double kMinWriterShare = 0.75;
+/// Failure score of the recent intervals that verifies a version; reached by 6 good answers.
+constexpr double kRecentThreshold = -1.0;
+
+constexpr double kBadExcess = 0.15; ///< Excess of a bad version's failure rate over the baseline's.
+/// Excess over the baseline's share of timeouts that is still good: of the few answers of a good version,
+/// crashes and queues suppress up to a quarter.
 constexpr double kTimeoutMargin = 0.1;
-constexpr double kTimeoutExcess = 0.3;    ///< ... and this much more than that is bad.
-constexpr double kMaxGoodTimeouts = 0.9;  ///< Share that is still good ...
-constexpr double kMaxBadTimeouts = 0.95;  ///< ... and that is always bad.
-constexpr double kMaxIntervalShare = 0.8; ///< Believed of the settled version's share at one time.
-constexpr double kPriorBad = 1.0;         ///< Failures believed before any answer ...
-constexpr double kPriorAll = 20.0;        ///< ... of so many answers.
-/// Weight, in answers, of the settled version's share in the whole trial beside its share at one time.
+constexpr double kTimeoutExcess = 0.3;    ///< Further excess that is bad.
+constexpr double kMaxGoodTimeouts = 0.9;  ///< Upper limit of a good version's share.
+constexpr double kMaxBadTimeouts = 0.95;  ///< Upper limit of a bad version's share.
+constexpr double kMaxIntervalShare = 0.8; ///< Upper limit of the baseline's share in one interval.
+constexpr double kPriorBad = 1.0;         ///< Failures in the prior of a share.
+constexpr double kPriorAll = 20.0;        ///< Answers in the prior of a share.
+/// Weight, in answers, of the baseline's share in the whole trial relative to its share in one interval.
 constexpr double kWholeTrialWeight = 10.0;
-/// Answers of the settled version with which a comparison has half its weight.
+/// Baseline answers at which a comparison has half its weight.
 constexpr double kHalfWeightAnswers = 4.0;
-constexpr double kBaselineQuickShare = 0.25; ///< Of the settled version's answers.
-constexpr double kQuickPriorWeight = 4.0;    ///< Answers with that share, believed before any.
+constexpr double kBaselineQuickShare = 0.25; ///< Quick share of the baseline's answers, by definition.
+constexpr double kQuickPriorWeight = 4.0;    ///< Weight of that share as a prior, in answers.
 constexpr double kMinUsualShare = 0.02;
 constexpr double kMaxUsualShare = 0.6;
 
-/// Shares of answers of a good and of a bad version.
+/// Expected shares of answers of a good and of a bad version.
 struct Shares
 {
 	double good = 0.0;
 	double bad = 0.0;
 };
-/// Quick ones are a quarter of the settled version's by definition, less what few answers blur; of a good
-/// version more of its paces than of its heads, as its caches are cold.
+/// Quick answers. By definition a quarter of the baseline's are quick; ranks among few answers lower that.
+/// For a good version more times per token than times to the first token are quick, because its caches are
+/// cold.
 constexpr std::array<Shares, kTimeKinds> kQuick = {{{0.15, 0.03}, {0.24, 0.05}}};
-/// Slow ones, where a part of the answers takes several times as long: heads of a good version wait for the
-/// prompts of others.
+/// Slow answers, for a version of which only a part takes several times as long. The first token of a good
+/// version may wait for the prompts of other requests.
 constexpr std::array<Shares, kTimeKinds> kSlow = {{{0.2, 0.5}, {0.1, 0.25}}};
 
-/// One upstream that fails is no bad version: at least two, and a third of those that answered, have to ...
+/// Upstreams that must fail before the version is blamed, since a single one may be broken: at least two and
+/// a third of those that answered.
 constexpr uint32_t kMinFailedUpstreams = 2;
 constexpr double kMinFailedUpstreamShare = 1.0 / 3.0;
-constexpr uint32_t kMinFailuresOfSingle = 12; ///< ... unless there is but one, and it fails so often.
+/// Failures that suffice if the version has only one upstream.
+constexpr uint32_t kMinFailuresOfSingle = 12;
 
-/// How much likelier a bad version makes some answers. @param[in] _good Share of hits of a good version.
+/// @returns The log likelihood ratio of a bad against a good version. @param[in] _good Share of hits of a
+/// good version. @param[in] _bad Share of hits of a bad version.
 double score(double _hits, double _misses, double _good, double _bad)
 {
 	return _hits * std::log(_bad / _good) + _misses * std::log((1.0 - _bad) / (1.0 - _good));
 }
 
-/// Hits among answers.
+/// Number of hits among a number of answers.
 struct Hits
 {
 	double hits = 0.0;
 	double all = 0.0;
 };
 
-/// @returns A share with a prior, kept where scores are finite.
+/// @returns A share with a prior, clamped to a range with finite scores.
 double usualShare(const Hits& _sample)
 {
 	return std::clamp((_sample.hits + kPriorBad) / (_sample.all + kPriorAll), kMinUsualShare, kMaxUsualShare);
 }
 
-/// @returns The share at one time: what both versions suffer then is no sign against one of them.
-/// @param[in] _then Of the settled version at that time. @param[in] _ever Of it in the whole trial.
+/// @returns The baseline's share in one interval, so that a problem that affects both versions then is not
+/// held against one of them.
+/// @param[in] _current Baseline answers of the interval. @param[in] _overall Those of the whole trial.
 double usualShare(const Hits& _current, const Hits& _overall)
 {
 	const double share =
@@ -106,7 +117,7 @@
 	return score(_candidate.bad, _candidate.good, usual, usual + kBadExcess);
 }
 
-/// @param[in] _usual Share of the settled version's answers that did not come in time.
+/// @param[in] _usual Share of the baseline's attempts that timed out.
 double timeoutScore(const AnswerCounts& _candidate, double _usual)
 {
 	const double good = std::min(_usual + kTimeoutMargin, kMaxGoodTimeouts);
@@ -114,8 +125,8 @@
 				 std::min(kMaxBadTimeouts, good + kTimeoutExcess));
 }
 
-/// How many of the settled version's answers are quick at one time, as a part of how many are by definition:
-/// hardly any while the load rises, and then as few of a good version are.
+/// @returns The share of the baseline's answers that are quick in one interval, relative to the share by
+/// definition. Hardly any are quick while the load rises, of a good candidate just as few.
 double quickPart(const TimeCounts& _baseline)
 {
 	const double share =
@@ -123,33 +134,34 @@
 	return std::min(1.0, share / kBaselineQuickShare);
 }
 
-/// Of a version all of whose answers are slower. @param[in] _part See `quickPart`.
+/// @returns The score against a version that is slower in all answers. @param[in] _part See `quickPart`.
 double slowerScore(const TimeCounts& _times, TimeKind _kind, double _part)
 {
 	const Shares& shares = kQuick[size_t(_kind)];
 	return score(_times.quick, _times.timed - _times.quick, shares.good * _part, shares.bad * _part);
 }
 
-/// What a comparison says, by how many of the settled version's answers there were at the same time: with
-/// none nothing tells a load that has risen from a version that has become slow.
+/// @returns A score weighted by the number of baseline answers in the same interval. Without any, a risen
+/// load can't be distinguished from a version that has become slow.
 double weighted(double _score, double _baseline)
 {
 	return _score * _baseline / (_baseline + kHalfWeightAnswers);
 }
 
-/// Of a version some of whose answers are slow. @param[in] _usual Share of the settled version's slow ones.
+/// @returns The score against a version that is slow in a part of its answers. @param[in] _usual Slow share
+/// of the baseline's answers.
 double slowScore(const TimeCounts& _times, double _usual, const Shares& _shares)
 {
 	const double good =
-		std::max(_shares.good, std::min(_usual, kMaxUsualShare)); // A bad share stays below 1.
+		std::max(_shares.good, std::min(_usual, kMaxUsualShare)); // Keeps the bad share below 1.
 	return score(_times.slow, _times.timed - _times.slow, good, good + _shares.bad - _shares.good);
 }
 
-/// @returns The highest sum of scores over any last part of the spans; 0 or more. A score takes the counts of
-/// a span and its number.
-/// @param[in] _credit How much of the parts before stays in the version's favour.
+/// @returns The highest sum of scores over any last part of the intervals; 0 or more. `_score` takes the
+/// counts and the number of an interval.
+/// @param[in] _credit Maximum credit from earlier intervals in the version's favour.
 template <typename Score>
-double highestRecent(const IntervalSums& _intervals, const Score& _score, double _credit = 0.0)
+double maxSuffixScore(const IntervalSums& _intervals, const Score& _score, double _credit = 0.0)
 {
 	double highest = 0.0;
 	for (const auto& [interval, counts] : _intervals)
@@ -159,8 +171,8 @@
 	return std::max(0.0, highest);
 }
 
-/// @returns A span, the one before and the one after it together: where the load changes in the middle of
-/// one, the answers of either version in it may be of before or after.
+/// @returns The sum of an interval, the one before and the one after it. If the load changes within an
+/// interval, the answers of one version may be from before the change and those of the other from after it.
 EvidenceCounts sumAdjacent(const IntervalSums& _intervals, uint32_t _interval)
 {
 	EvidenceCounts total;
@@ -195,44 +207,47 @@
 	return failed >= kMinFailedUpstreams && double(failed) >= kMinFailedUpstreamShare * double(answered);
 }
 
-/// Of a version all of whose answers are slower, over any last part of the trial.
-double highestSlower(const IntervalSums& _intervals, TimeKind _kind)
+/// @returns The highest score against a version that is slower in all answers, over any last part of the
+/// trial.
+double maxSlowerScore(const IntervalSums& _intervals, TimeKind _kind)
 {
 	const size_t at = size_t(_kind);
 	const auto slower = [&](const EvidenceCounts& _part, uint32_t _interval) {
 		const EvidenceCounts current = sumAdjacent(_intervals, _interval);
 		return slowerScore(_part.candidateTimes[at], _kind, quickPart(current.baselineTimes[at]));
 	};
-	return highestRecent(_intervals, slower, kMaxPerTokenCredit);
+	return maxSuffixScore(_intervals, slower, kMaxQuickCredit);
 }
 
-/// Of a version some of whose answers are slow, over any last part of the trial. Where the settled version
-/// answers nothing any more, slow is measured by what it took before: nothing tells a risen load from the
-/// version.
-double highestOftenSlow(const IntervalSums& _intervals, const EvidenceCounts& _all, TimeKind _kind)
+/// @returns The highest score against a version that is slow in a part of its answers, over any last part of
+/// the trial. In an interval without baseline answers in or next to it, slow is measured against the
+/// baseline's earlier times, and a risen load can't be distinguished from a slow version; so such an interval
+/// has no weight.
+double maxOftenSlowScore(const IntervalSums& _intervals, const EvidenceCounts& _all, TimeKind _kind)
 {
 	const size_t at = size_t(_kind);
 	const Hits overall = slowTimes(_all.baselineTimes[at]);
-	return highestRecent(_intervals, [&](const EvidenceCounts& _part, uint32_t _interval) {
+	return maxSuffixScore(_intervals, [&](const EvidenceCounts& _part, uint32_t _interval) {
 		const Hits current = slowTimes(sumAdjacent(_intervals, _interval).baselineTimes[at]);
-		const double known = std::min(1.0, current.all / kHalfWeightAnswers);
-		return known * slowScore(_part.candidateTimes[at], usualShare(current, overall), kSlow[at]);
+		const double weight = std::min(1.0, current.all / kHalfWeightAnswers);
+		return weight * slowScore(_part.candidateTimes[at], usualShare(current, overall), kSlow[at]);
 	});
 }
 
-/// Heads alone say little of streams: caches of long prompts are cold for a good version too.
+/// @returns The fault that the times show. The time to the first token alone is weak evidence for streams,
+/// because caches of long prompts are cold for a good version too.
 VersionFault slowFault(const IntervalSums& _intervals)
 {
 	const EvidenceCounts all = sumIntervals(_intervals);
 	const bool hasPerToken = all.candidateTimes[size_t(TimeKind::PerToken)].timed > 0;
-	const double firstToken = highestSlower(_intervals, TimeKind::FirstToken);
-	const double perToken = highestSlower(_intervals, TimeKind::PerToken);
+	const double firstToken = maxSlowerScore(_intervals, TimeKind::FirstToken);
+	const double perToken = maxSlowerScore(_intervals, TimeKind::PerToken);
 	if ((hasPerToken ? perToken + std::min(firstToken, kMaxFirstTokenScore) : firstToken) > kSlowerThreshold)
 	{
 		return VersionFault::Slower;
 	}
-	const double slow = std::max(highestOftenSlow(_intervals, all, TimeKind::FirstToken),
-								 highestOftenSlow(_intervals, all, TimeKind::PerToken));
+	const double slow = std::max(maxOftenSlowScore(_intervals, all, TimeKind::FirstToken),
+								 maxOftenSlowScore(_intervals, all, TimeKind::PerToken));
 	return slow > kFaultThreshold && affectsSeveralUpstreams(all) ? VersionFault::OftenSlow
 																  : VersionFault::None;
 }
@@ -241,7 +256,7 @@
 {
 	const EvidenceCounts all = sumIntervals(_intervals);
 	const auto above = [&_intervals](const auto& _score) {
-		return highestRecent(_intervals, _score) > kFaultThreshold;
+		return maxSuffixScore(_intervals, _score) > kFaultThreshold;
 	};
 	const bool severalUpstreams = affectsSeveralUpstreams(all);
 	const auto fails = [&all](const EvidenceCounts& _part, uint32_t) {
@@ -268,15 +283,15 @@
 	return _counts.candidate.good + _counts.candidate.bad + _counts.baseline.good + _counts.baseline.bad;
 }
 
-/// A route that has hardly any traffic can't be waited for: the answers that it lacks are as few later on.
+/// Routes with hardly any traffic are exempt: waiting would not bring enough answers there.
 bool isVerifiedOn(const EvidenceCounts& _route, uint32_t _allAnswers, double _level)
 {
 	return double(answers(_route)) < kMinRouteShare * double(_allAnswers) ||
 		   failureScore(_route.candidate, _route.baseline) <= _level;
 }
 
-/// Without answers of the settled version to compare with, times say nothing. Heads count only where there
-/// are no paces: caches that are cold for both versions make them alike.
+/// Without baseline answers times can't be compared. The time to the first token is used only if there are no
+/// times per token, because caches that are cold for both versions make it alike.
 bool isQuickEnough(const EvidenceCounts& _all, double _level)
 {
 	const bool hasPerToken = _all.candidateTimes[size_t(TimeKind::PerToken)].timed > 0;
@@ -284,12 +299,13 @@
 	return _all.baseline.good == 0 || slowerScore(_all.candidateTimes[size_t(kind)], kind, 1.0) <= _level;
 }
 
-/// Routers that are cut off keep their requests on the settled version, and what they see is not known, a
-/// halt neither: about as many routers must be heard of late as before.
+/// @returns Whether about as many routers have written recent rows as earlier ones. Routers that are cut off
+/// keep their requests on the baseline version, and neither their evidence nor a halt by them has been
+/// received.
 bool hasFleetEvidence(const TrialEvidence& _evidence, uint32_t _firstRecent)
 {
 	std::set<uint32_t> recent;
-	std::map<uint32_t, std::set<uint32_t>> earlier; // By part of the trial.
+	std::map<uint32_t, std::set<uint32_t>> earlier; // Writers by part of the trial.
 	for (const auto& [key, entry] : _evidence.rows)
 	{
 		(key.interval >= _firstRecent ? recent : earlier[key.interval / 2]).insert(key.writer);
@@ -302,17 +318,18 @@
 	return double(recent.size()) >= kMinWriterShare * double(maxWriters);
 }
 
-/// How far scores must have fallen.
+/// Scores at or below which a version is verified.
 struct VerificationLevel
 {
-	double failures = 0.0;    ///< Of failures over all routes.
-	double route = 0.0;       ///< The same on each route with traffic.
-	double times = 0.0;       ///< Of quick answers.
-	double fullTraffic = 0.0; ///< Of failures while the version was to have all requests.
+	double failures = 0.0;    ///< Failures over all routes.
+	double route = 0.0;       ///< Failures on each route with traffic.
+	double times = 0.0;       ///< Quick answers.
+	double fullTraffic = 0.0; ///< Failures while the version was to get all requests.
 };
 constexpr VerificationLevel kLevelToRamp = {-2.5, -0.5, -2.0, 0.0};
 constexpr VerificationLevel kLevelInTime = {-5.0, -2.0, -4.0, -1.0};
-/// After the deadline nothing is gained by haste, and what made it late may have hidden something.
+/// Stricter after the deadline, when nothing is gained by haste and the cause of the delay may have hidden
+/// failures.
 constexpr VerificationLevel kLevelOverdue = {-6.0, -3.0, -4.0, -5.0};
 
 bool reachesLevel(const TrialEvidence& _evidence, const VerificationLevel& _level)
--- a/src/core/version_trial.cpp
+++ b/src/core/version_trial.cpp
@@ -1,4 +1,4 @@
-/// Roll-outs of new versions: orders, choice, halts, completion.
+/// Roll-outs of new versions: orders, choice of a version, halts and completion.
 #include "spanplank/version_trial.h"
 
 #include <algorithm>
@@ -11,16 +11,18 @@
 {
 namespace
 {
-/// It may be completed from here on: late, as a version that is bad under load or from later on alone can't
-/// be told from a good one before, and stays within the bound on exposure that way; before the deadline by
-/// 0.6 s of 16, what the time of the order is uncertain by.
+/// Part of the duration from which a version may be completed. Late, because a version that is bad only under
+/// load or only later can't be distinguished from a good one before, and stays within the exposure bound
+/// until then. Before the deadline by 0.6 s in a trial of 16 s, which is the uncertainty of the order's time.
 constexpr double kMinCompletionPart = 0.96;
-/// Between the proof and the growing share: all routers know by then, so that no session moves to and fro.
+/// Delay between the verification and the ramp. All routers have received the verification by then, so that
+/// no session switches back and forth between versions.
 constexpr TimeUs kRampDelay = 500 * kMsToUs;
-/// A router that was cut off waits so long with a completion: others that have halted the version come first.
+/// Time without a store outage before a router may complete a version, so that halts by other routers take
+/// precedence after a router was cut off.
 constexpr TimeUs kMinStoreReachable = 2000 * kMsToUs;
-/// After a call to write a status failed, doubled each time: while the store is away, some 30 routers that
-/// had halted a version called it 5 times a second each.
+/// Delay before a failed write of a status is retried, doubled after each failure. With a constant delay,
+/// about 30 routers that had halted a version called an unavailable store 5 times a second each.
 constexpr TimeUs kWriteRetryDelay = 200 * kMsToUs;
 constexpr uint32_t kMaxDelayDoublings = 3;
 
@@ -82,8 +84,8 @@
 	{
 		return false;
 	}
-	// The same order in a later era of the store is the one that was known: written again, or in an older
-	// copy.
+	// The same order in a later era of the store is the known one: it was written again, or comes from an
+	// older copy of the store.
 	const bool rewritten = trial.orderRevision != 0 && eraOf(_revision) > eraOf(trial.orderRevision) &&
 						   _order.version == trial.order.version &&
 						   _order.durationMs == trial.order.durationMs;
@@ -111,14 +113,14 @@
 	trial->statusRevision = _revision;
 	if (_status.version != trial->order.version || _revision < trial->orderRevision)
 	{
-		return false; // Of an earlier order.
+		return false; // The status belongs to an earlier order.
 	}
 	const bool changed = trial->state != _status.state;
-	// A halt is not taken back, but by a completion that is in the store already: the old version's upstreams
-	// stop at once then, and without the new ones nothing would be left to serve.
+	// A halt is only overridden by a completion that the store already holds: the baseline version's
+	// upstreams stop as soon as it is there, so without the new version's no upstream would be left.
 	const bool halted = trial->state == RolloutState::RolledBack && _status.state != RolloutState::Completed;
-	// An older copy of the store may hold what was before the completion, and the old version's upstreams are
-	// stopped.
+	// An older copy of the store may hold the state from before the completion, but the baseline version's
+	// upstreams have stopped.
 	const bool completed = trial->state == RolloutState::Completed && _status.state == RolloutState::Running;
 	trial->state = halted || completed ? trial->state : _status.state;
 	trial->statusUnwritten = trial->state != _status.state;
@@ -186,7 +188,7 @@
 void recordTrialReached(TrialTable& _trials, const std::string& _service, const TrialAttempt& _attempt)
 {
 	VersionTrial* trial = trialOf(_trials, _service);
-	// An attempt that was chosen before the order may have reached its upstream before it, too.
+	// An attempt that was chosen before the order may also have reached its upstream before it.
 	if (trial != nullptr && trial->orderRevision == _attempt.orderRevision)
 	{
 		++trial->reached;
@@ -221,7 +223,7 @@
 	if (trial == nullptr || trial->orderRevision != _halt.orderRevision ||
 		trial->state != RolloutState::Running)
 	{
-		return false; // Of another order, or settled.
+		return false; // The halt belongs to another order, or the trial has ended.
 	}
 	halt(*trial, VersionFault::None, true);
 	return true;
@@ -246,9 +248,9 @@
 
 namespace
 {
-/// @returns Whether a version may be completed. That can't be taken back, and needs more than a halt: all
-/// requests went to it for a while, the evidence of the fleet proves it, and nobody can have halted it
-/// unheard.
+/// @returns Whether a version may be completed. That can't be reverted and therefore needs more than a halt:
+/// it has received all requests for a while, the evidence of the fleet verifies it, and no router can have
+/// halted it without this router having received the halt.
 bool isComplete(const VersionTrial& _trial, double _exposureShare, TimeUs _storeReachableSince, TimeUs _now)
 {
 	const bool isDue = elapsedPart(_trial, _now) >= kMinCompletionPart && _trial.rampStartAt != 0 &&
@@ -276,7 +278,7 @@
 {
 	if (_status.version != _trial.order.version)
 	{
-		return; // Another order came while the call was under way.
+		return; // Another order arrived during the write.
 	}
 	_trial.statusRevision = _revision;
 	_trial.failedWrites = 0;
@@ -284,8 +286,7 @@
 	{
 		_trial.state = _status.state;
 	}
-	_trial.statusUnwritten =
-		_trial.state != _status.state; // It may have been halted while the call was under way.
+	_trial.statusUnwritten = _trial.state != _status.state; // It may have been halted during the write.
 }
 
 void recordFailedWrite(VersionTrial& _trial, TimeUs _now, double _jitter)
--- a/tests/core/exposure_bound_test.cpp
+++ b/tests/core/exposure_bound_test.cpp
@@ -1,4 +1,4 @@
-/// The bound on what a version on trial gets, over fleets whose upstreams of the settled version fail.
+/// Tests of the exposure bound over fleets in which the baseline version's upstreams fail.
 #include <array>
 #include <fmt/format.h>
 #include <functional>
@@ -21,32 +21,33 @@
 constexpr uint32_t kAttempts = 4;
 constexpr double kSlack = 30.0; ///< Requests above the bound that operators allow.
 constexpr uint32_t kManyRouters = 103;
-constexpr double kMinServedShare = 0.25; ///< Of the requests.
+constexpr double kMinServedShare = 0.25; ///< Share of the requests.
 
-/// What becomes of an attempt.
-enum class Fate : uint8_t
+/// Outcome of an attempt.
+enum class AttemptOutcome : uint8_t
 {
 	Unsent,   ///< Nothing was sent; the next attempt follows at once.
-	Reset,    ///< It was sent, and reset on its way.
-	Lost,     ///< It has reached the upstream, whose answer did not come.
-	Rejected, ///< It has reached the upstream, which is full.
+	Reset,    ///< It was sent, but the connection was reset before it arrived.
+	Lost,     ///< It has reached the upstream, whose answer was lost.
+	Rejected, ///< It has reached the upstream, which has no capacity.
 	Answered,
 };
 
-/// Chances of each fate at the settled version's upstreams, in the order of `Fate`; the new one's are sound.
-using Fates = std::array<double, 4>;
+/// Probability of each outcome at the baseline version's upstreams, in the order of `AttemptOutcome`; the new
+/// version's always answer.
+using OutcomeChances = std::array<double, 4>;
 
 struct Plan
 {
 	uint32_t routers = 3;
-	double perSecond = 100.0; ///< Requests of all routers.
-	Fates fates{};
-	double noneFree = 0.0;   ///< Chance that no upstream of the settled version is free for a choice.
-	TimeUs restartEvery = 0; ///< Between restarts, of one router after the other; 0: none.
+	double perSecond = 100.0; ///< Requests at all routers.
+	OutcomeChances chances{};
+	double noneFree = 0.0;   ///< Probability that no upstream of the baseline version is free.
+	TimeUs restartEvery = 0; ///< Time between restarts of single routers, in turn; 0: no restarts.
 	uint64_t seed = 1;
 };
 
-/// A fleet without evidence: its version is neither proved nor halted.
+/// Simulates a fleet without evidence, so that its version is neither verified nor halted.
 struct Fleet
 {
 	Plan plan;
@@ -57,7 +58,7 @@
 	uint64_t arrived = 0;  ///< Requests at the routers.
 	uint64_t requests = 0; ///< Attempts that reached the service.
 	uint64_t exposed = 0;  ///< Attempts that reached the version on trial.
-	double worst = 0.0;    ///< Most of them above the bound, at any time.
+	double worst = 0.0;    ///< Maximum of `exposed` above the bound at any time.
 
 	explicit Fleet(const Plan& _plan)
 		: plan(_plan), random{_plan.seed}, routers(_plan.routers), incarnations(_plan.routers, 0)
@@ -80,8 +81,8 @@
 
 	std::string choose(TrialTable& _trials, uint64_t _hash, TimeUs _now)
 	{
-		const TrialRequest subject{_hash, _hash % 2 == 0, VersionScope::Any};
-		const bool isNew = chooseVersion(_trials, kService, subject, _now).only == "v2";
+		const TrialRequest request{_hash, _hash % 2 == 0, VersionScope::Any};
+		const bool isNew = chooseVersion(_trials, kService, request, _now).only == "v2";
 		if (isNew || nextUnit(random) >= plan.noneFree)
 		{
 			return isNew ? "v2" : "v1";
@@ -89,18 +90,18 @@
 		return chooseFallbackVersion(_trials, kService, _now).excluded.empty() ? "v2" : "";
 	}
 
-	Fate fateOf(const std::string& _version)
+	AttemptOutcome drawOutcome(const std::string& _version)
 	{
 		double drawn = nextUnit(random);
-		for (size_t ii = 0; _version == "v1" && ii < plan.fates.size(); ++ii)
+		for (size_t ii = 0; _version == "v1" && ii < plan.chances.size(); ++ii)
 		{
-			drawn -= plan.fates[ii];
+			drawn -= plan.chances[ii];
 			if (drawn < 0.0)
 			{
-				return Fate(ii);
+				return AttemptOutcome(ii);
 			}
 		}
-		return Fate::Answered;
+		return AttemptOutcome::Answered;
 	}
 
 	struct Request
@@ -124,20 +125,20 @@
 			return;
 		}
 		const TrialAttempt trial = recordTrialChosen(table, kService, version);
-		const Fate fate = fateOf(version);
-		if (fate == Fate::Unsent)
+		const AttemptOutcome outcome = drawOutcome(version);
+		if (outcome == AttemptOutcome::Unsent)
 		{
 			recordTrialUnsent(table, kService, trial);
 			attempt(_request, _now);
 			return;
 		}
-		if (fate != Fate::Reset)
+		if (outcome != AttemptOutcome::Reset)
 		{
 			arrive(version);
 		}
 		const auto duration = TimeUs(nextUnit(random) * double(kSecond));
-		events.emplace(_now + duration, [this, _request, trial, fate, at = _now + duration] {
-			end(_request, trial, fate, at);
+		events.emplace(_now + duration, [this, _request, trial, outcome, at = _now + duration] {
+			end(_request, trial, outcome, at);
 		});
 	}
 
@@ -148,17 +149,17 @@
 		worst = std::max(worst, double(exposed) - kBound * double(requests));
 	}
 
-	void end(Request _request, const TrialAttempt& _trial, Fate _fate, TimeUs _now)
+	void end(Request _request, const TrialAttempt& _trial, AttemptOutcome _outcome, TimeUs _now)
 	{
 		if (incarnations[_request.router] != _request.incarnation)
 		{
 			return;
 		}
-		if (_fate != Fate::Reset)
+		if (_outcome != AttemptOutcome::Reset)
 		{
 			recordTrialReached(routers[_request.router], kService, _trial);
 		}
-		if (_fate != Fate::Answered)
+		if (_outcome != AttemptOutcome::Answered)
 		{
 			attempt(_request, _now);
 		}
@@ -166,7 +167,7 @@
 
 	void run()
 	{
-		double owed = 0.0;
+		double pendingRequests = 0.0;
 		uint32_t restarted = 0;
 		for (TimeUs now = 0; now < kDeadline; now += kStep)
 		{
@@ -180,7 +181,8 @@
 			{
 				begin(restarted++ % plan.routers, now);
 			}
-			for (owed += plan.perSecond * double(kStep) / double(kSecond); owed >= 1.0; owed -= 1.0)
+			for (pendingRequests += plan.perSecond * double(kStep) / double(kSecond); pendingRequests >= 1.0;
+				 pendingRequests -= 1.0)
 			{
 				const auto router = uint32_t(nextUnit(random) * plan.routers);
 				++arrived;
@@ -190,35 +192,35 @@
 	}
 };
 
-// A bad version got up to 59 of 168 requests, 15 in 100 and 30 are allowed: attempts that found a dead or
-// full upstream of the settled version counted as requests that had reached it, and each router that started
-// again had one request above its share.
-TEST(ExposureBound, HoldsForTheFleetWhateverBecomesOfTheSettledVersionsUpstreams)
+// Guards against a violation of the bound: a bad version got up to 59 of 168 requests, where 15 in 100 and
+// another 30 are allowed. Attempts at a dead or full upstream of the baseline version were counted as
+// requests that had reached it, and each restarted router had one request above its share.
+TEST(ExposureBound, HoldsForTheFleetWhateverHappensToTheBaselineVersionsUpstreams)
 {
-	constexpr std::array<Fates, 5> kFates = {{{0.0, 0.0, 0.0, 0.0},
-											  {0.7, 0.0, 0.0, 0.0},
-											  {0.9, 0.05, 0.0, 0.0},
-											  {0.2, 0.3, 0.2, 0.2},
-											  {0.0, 0.0, 0.3, 0.6}}};
+	constexpr std::array<OutcomeChances, 5> kOutcomeChances = {{{0.0, 0.0, 0.0, 0.0},
+																{0.7, 0.0, 0.0, 0.0},
+																{0.9, 0.05, 0.0, 0.0},
+																{0.2, 0.3, 0.2, 0.2},
+																{0.0, 0.0, 0.3, 0.6}}};
 	uint64_t seed = 1;
 	for (const uint32_t routers : {3u, 12u, 23u, 103u, 357u})
 	{
-		for (const Fates& fates : kFates)
+		for (const OutcomeChances& chances : kOutcomeChances)
 		{
 			for (const TimeUs restartEvery : {TimeUs(0), 50 * kMsToUs, 400 * kMsToUs})
 			{
 				for (const double noneFree : {0.0, 0.5, 1.0})
 				{
 					const double perSecond = std::max(100.0, double(routers));
-					Fleet fleet(Plan{routers, perSecond, fates, noneFree, restartEvery, ++seed});
+					Fleet fleet(Plan{routers, perSecond, chances, noneFree, restartEvery, ++seed});
 					fleet.run();
-					// Beyond 103 routers the sum of what sessions may go above is within it only where a part
-					// of the requests is served: docs/CAPACITY.md.
+					// Beyond 103 routers the sum of the excess that sessions may have stays within the slack
+					// only if a part of the requests is served: docs/CAPACITY.md.
 					const bool served = double(fleet.requests) >= kMinServedShare * double(fleet.arrived);
 					EXPECT_TRUE(fleet.worst <= kSlack || (routers > kManyRouters && !served)) << fmt::format(
 						"{} routers, unsent {} reset {} lost {} rejected {}, restarts each {}, "
 						"none free {}: {} of {}, {} above",
-						routers, fates[0], fates[1], fates[2], fates[3], restartEvery, noneFree,
+						routers, chances[0], chances[1], chances[2], chances[3], restartEvery, noneFree,
 						fleet.exposed, fleet.requests, fleet.worst);
 				}
 			}
@@ -226,8 +228,8 @@
 	}
 }
 
-/// Of the bound, that an unproved version is offered over its trial: of requests without a session 0.3 from a
-/// tenth of the trial on, of others all from 0.53 on.
+/// Part of the bound that an unverified version is offered over its trial: for requests without a session 0.3
+/// from 0.1 of the trial on, for sessions all of it from 0.53 on.
 constexpr double kOffered = (0.9 * 0.3 + 0.47) / 2.0;
 
 TEST(ExposureBound, OfAFleetWithoutTroubleTheNewVersionGetsWhatItsTrialOffers)
--- a/tests/core/exposure_test.cpp
+++ b/tests/core/exposure_test.cpp
@@ -1,4 +1,4 @@
-/// Exposure: false halts, misses, and the ledger against a naive count.
+/// Tests of exposure: false halts, missed faults, and the ledger compared with a naive count.
 #include "spanplank/exposure.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,8 @@
 {
 namespace
 {
-/// Draws ratings one by one, looking after each. @returns The verdict, at the latest after `_most` ratings.
+/// Draws ratings one by one and evaluates the test after each. @returns The verdict, at the latest after
+/// `_most` ratings.
 RolloutVerdict rollOut(Random& _random, double _badRate, const Rollout& _rollout, uint64_t _most,
 					   uint64_t& _rated)
 {
@@ -60,7 +61,7 @@
 	EXPECT_LE(served, 8u);
 }
 
-TEST(DriftWatch, FindsATurnQuicklyAndRarelyCriesWolf)
+TEST(DriftWatch, DetectsAChangeQuicklyWithoutFalseHalts)
 {
 	Random random{3};
 	DriftWatch watch;
@@ -84,13 +85,13 @@
 	EXPECT_LE(needed, 5u);
 }
 
-TEST(ExposureLedger, UnratedNeverPassesTheBudgetHoweverTheGrantsRace)
+TEST(ExposureLedger, UnratedAnswersNeverExceedTheBudgetForAnyOrderOfGrants)
 {
 	const bool held = rc::check("bounded", [](const std::vector<std::pair<uint8_t, uint8_t>>& _steps) {
 		const Rollout rollout;
 		ExposureLedger ledger;
 		RatingTally tally;
-		uint64_t spent = 0; // The naive count: answers given in all.
+		uint64_t spent = 0; // Naive count: the total of answers given.
 		for (const auto& [want, rated] : _steps)
 		{
 			const uint64_t credits = grantableCredits(ledger, tally, rollout, want);
@@ -106,7 +107,7 @@
 	EXPECT_TRUE(held);
 }
 
-TEST(ExposureCredits, AnotherGenerationsCreditIsWorthless)
+TEST(ExposureCredits, ACreditOfAnotherGenerationIsRefused)
 {
 	ExposureCredits credits;
 	credits.generation = 1;
--- a/tests/core/reading_pace_test.cpp
+++ b/tests/core/reading_pace_test.cpp
@@ -1,5 +1,5 @@
-/// The belief of how long prompts take to read, under a load that replays busy engines: most answers wait for
-/// long prompts of a larger model, few find an engine idle.
+/// Tests of the estimated prompt processing time under a load that simulates busy engines: most answers wait
+/// for long prompts of a larger model, few reach an idle engine.
 #include <gtest/gtest.h>
 
 #include "spanplank/upstream_table.h"
@@ -9,9 +9,9 @@
 namespace
 {
 constexpr double kTrueTokenMs = 0.0053; ///< Of the smallest model on an idle engine.
-constexpr double kFixedMs = 18.0;       ///< Ways and steps before the first token.
-constexpr double kLongReadMs = 400.0;   ///< A prompt of the largest model, ahead in the queue.
-constexpr double kBusyShare = 0.7;      ///< Part of the time for which one is being read.
+constexpr double kFixedMs = 18.0; ///< Network and processing time before the first token, without the prompt.
+constexpr double kLongReadMs = 400.0; ///< Longest wait for a prompt of the largest model ahead in the queue.
+constexpr double kBusyShare = 0.7;    ///< Share of the time in which such a prompt is processed.
 constexpr uint32_t kTokens = 4000;
 
 struct BusyEngine
@@ -49,8 +49,9 @@
 	}
 };
 
-// The belief followed the mean of what waited: 114 ms for a prompt that takes 21.
-TEST(ReadingPace, OfABusyEngineIsBelievedWithinTwiceTheTruth)
+// Guards against an estimate that follows the mean time including queueing: 114 ms for a prompt that takes
+// 21 ms.
+TEST(ReadingPace, OfABusyEngineIsEstimatedWithinTwiceTheTrueValue)
 {
 	BusyEngine engine;
 	engine.answer(200, kTrueTokenMs);
@@ -58,8 +59,9 @@
 	EXPECT_GT(engine.estimatedMs(), 0.5 * kTrueTokenMs * kTokens);
 }
 
-// An engine that had once been queued at for long was believed slow from then on, as nothing was sent there
-// that could have shown otherwise: of 28 engines 21 were in use while prompts waited for 0.7 s at them.
+// Guards against an engine that is avoided forever after a long queue: its estimate stayed high because no
+// requests were sent there that could have lowered it. Of 28 engines 21 were in use, and prompts waited for
+// 0.7 s at them.
 TEST(ReadingPace, AnEngineThatWasOnceBusyIsUsedAgainWhenItsQueueIsGone)
 {
 	BusyEngine engines;
@@ -67,7 +69,7 @@
 		registerUpstream(engines.table, {"v", "llm", "10.0.0.2:80", "a", "v1", 64, false});
 	UpstreamQuery query = engines.query();
 	engines.answer(200, kTrueTokenMs);
-	for (int ii = 0; ii < 20; ++ii) // A burst, each behind the one before.
+	for (int ii = 0; ii < 20; ++ii) // A burst in which each request waits for the one before.
 	{
 		const double prefillMs = noteSent(engines.table, other, query, 0);
 		noteHead(engines.table, other, query, prefillMs, TimeUs(ii) * 100 * kMsToUs);
@@ -76,7 +78,7 @@
 	int used = 0;
 	for (uint64_t ii = 0; ii < 100; ++ii)
 	{
-		query.shared = {{1000 + ii, 0}}; // Prompts that no engine keeps a part of.
+		query.shared = {{1000 + ii, 0}}; // Prompts of which no engine has a cached prefix.
 		used += pickDirectUpstream(engines.table, query, 0, engines.random) == other ? 1 : 0;
 	}
 	EXPECT_GT(used, 30);
--- a/tests/core/trial_fleet_test.cpp
+++ b/tests/core/trial_fleet_test.cpp
@@ -1,5 +1,5 @@
-/// Roll-outs over random fleets: routers that are killed, start blank, lose the store or each other at any
-/// part of the trial, and versions that are good or bad in each way.
+/// Tests of roll-outs over random fleets: routers are killed, start without state, and lose the store or each
+/// other at any part of the trial, with good versions and with each kind of bad version.
 #include <gtest/gtest.h>
 
 #include "trial_fleet.h"
@@ -10,7 +10,7 @@
 
 namespace
 {
-/// Plays random fleets with a bad version.
+/// Simulates random fleets with a bad version and checks its exposure.
 void checkBounded(FaultKind _kind, const std::vector<double>& _shares)
 {
 	for (const double share : _shares)
@@ -47,8 +47,8 @@
 	checkBounded(FaultKind::OneRoute, {0.35, 0.5});
 }
 
-/// A version that fails only while it has most of the load is seen for the second before its completion
-/// alone: at a share of 0.5 and not below.
+/// A version that fails only while it has most of the load can only be detected in the second before its
+/// completion, which takes a failure rate of 0.5 or more.
 TEST(TrialFleetProperty, AVersionThatIsBadUnderLoadStaysBoundedAndIsNeverCompleted)
 {
 	checkBounded(FaultKind::UnderLoad, {0.5});
--- a/tests/core/trial_load_test.cpp
+++ b/tests/core/trial_load_test.cpp
@@ -1,4 +1,4 @@
-/// Roll-outs under load that moves: versions are compared by what they did at the same time.
+/// Tests of roll-outs under changing load: versions are compared by their answers in the same interval.
 #include <gtest/gtest.h>
 
 #include "trial_fleet.h"
@@ -9,7 +9,7 @@
 
 namespace
 {
-/// Surges, slow boxes, cold caches and uneven routes, at any part of the trial.
+/// Draws surges, slow upstreams, cold caches and uneven routes at any part of the trial.
 LoadProfile drawLoad(Random& _random)
 {
 	constexpr std::array<TimeUs, 4> kLengths = {kSecond, 4 * kSecond, 10 * kSecond, kDeadline};
@@ -69,7 +69,7 @@
 	return text;
 }
 
-/// A service's answers of one moment, at one router.
+/// Records an answer at one router.
 void answerAt(TrialTable& _trials, const std::string& _version, double _ms, TimeUs _now, int _number)
 {
 	TrialAnswer answer;
@@ -82,8 +82,8 @@
 	recordTrialAnswer(_trials, kService, answer, _now);
 }
 
-/// The settled version answers calmly for 3 s; then all answers take longer, and the new version gets its
-/// first ones. @returns What has become of that.
+/// The baseline version answers at its usual speed for 3 s; then all answers take longer, and the new version
+/// gets its first requests. @returns The resulting state.
 RolloutState stateAfterLoadRise(double _newMs)
 {
 	constexpr double kCalmMs = 15.0;
@@ -109,12 +109,12 @@
 	return table.trials.at(kService).state;
 }
 
-// A good version was rolled back as the load rose: rollout_halted version=v3 "slower; plain: new 50 good 0
-// bad 0 silent, paces 1 quick 0 slow of 40, old 410 good". By the routers' logs the settled version took 13.6
-// to 18.3 ms (medians of a second) while its times were gathered, and 25.0 to 26.8 ms in the two seconds in
-// which the new one got its answers, which took 27.1: it was as quick as the other in the same seconds and
-// was judged by the other's calm past.
-TEST(TrialLoad, AVersionThatIsAsQuickAsTheSettledOneInTheSameSecondsIsNotRolledBack)
+// Guards against the rollback of a good version while the load rises. The baseline took 13.6 to 18.3 ms
+// (medians of one second) while its reference times were recorded, and 25.0 to 26.8 ms in the two seconds in
+// which the new version answered, in 27.1 ms: with 50 good answers, 1 of 40 quick, beside 410 of the
+// baseline, the new version was halted as slower, because it was compared with the baseline's times from
+// before the rise.
+TEST(TrialLoad, AVersionThatIsAsQuickAsTheBaselineInTheSameSecondsIsNotRolledBack)
 {
 	EXPECT_EQ(stateAfterLoadRise(27.0), RolloutState::Running);
 }
@@ -124,8 +124,9 @@
 	EXPECT_EQ(stateAfterLoadRise(75.0), RolloutState::RolledBack);
 }
 
-/// The settled version answers calmly; the new one proves itself beside it, and then has all requests while
-/// the load rises: a part of its answers takes far longer. @returns What has become of it.
+/// The baseline version answers at its usual speed and the new version is as quick beside it; then the new
+/// version gets all requests while the load rises, and a part of its answers takes far longer. @returns The
+/// resulting state.
 RolloutState stateAfterFullTraffic(bool _baselineAnswersOn)
 {
 	constexpr double kCalmMs = 15.0;
@@ -155,20 +156,20 @@
 	return table.trials.at(kService).state;
 }
 
-// A good version was rolled back once it had all requests: rollout_halted often_slow, heads 9 slow of 13 in a
-// span in which the settled version had no answer, 0 slow of 35 before. Slow was what took several times as
-// long as the settled version's answers of 5 s before, under another load.
-TEST(TrialLoad, AVersionThatHasAllRequestsIsNotRolledBackByTimesOfTheSettledOneFromBefore)
+// Guards against the rollback of a good version once it has all requests. It was halted as often slow by 9
+// slow first tokens of 13 in an interval without baseline answers, after 0 of 35 before: they were compared
+// with the baseline's answers of 5 s earlier, under another load.
+TEST(TrialLoad, AVersionThatHasAllRequestsIsNotRolledBackByEarlierTimesOfTheBaseline)
 {
 	EXPECT_EQ(stateAfterFullTraffic(false), RolloutState::Running);
 }
 
-TEST(TrialLoad, AVersionThatIsOftenSlowBesideTheSettledOneIsRolledBack)
+TEST(TrialLoad, AVersionThatIsOftenSlowBesideTheBaselineIsRolledBack)
 {
 	EXPECT_EQ(stateAfterFullTraffic(true), RolloutState::RolledBack);
 }
 
-// The same over random fleets and loads.
+// The same property over random fleets and loads.
 TEST(TrialLoadProperty, AGoodVersionIsNotRolledBackWhateverTheLoadDoes)
 {
 	constexpr uint32_t kFleetFactor = 12;
@@ -184,13 +185,14 @@
 			described += "\n" + describeLoad(fleet.plan) + "\n  " + describeFaults(fleet);
 		}
 	}
-	EXPECT_LE(rolledBack, kFleetFactor * fleetCount() / 1000) << "one of 1,000 at most" << described;
+	EXPECT_LE(rolledBack, kFleetFactor * fleetCount() / 1000)
+		<< "at most 1 of 1,000 good versions may be rolled back" << described;
 }
 
 TEST(TrialLoadProperty, ASlowVersionIsHaltedWithinTheBoundsWhateverTheLoadDoes)
 {
 	constexpr uint32_t kFleetFactor = 4;
-	for (const double share : {0.215, 0.35}) // 2.5 and 3.45 times as long.
+	for (const double share : {0.215, 0.35}) // Answers take 2.5 and 3.45 times as long.
 	{
 		for (uint32_t number = 0; number < kFleetFactor * fleetCount(); ++number)
 		{
--- a/tests/core/version_trial_test.cpp
+++ b/tests/core/version_trial_test.cpp
@@ -1,4 +1,4 @@
-/// Roll-outs in direct mode: sessions, exposure, halts and completion over several routers.
+/// Tests of roll-outs in direct mode: sessions, exposure, halts and completion over several routers.
 #include "spanplank/version_trial.h"
 
 #include <fmt/format.h>
@@ -27,7 +27,7 @@
 	return table;
 }
 
-/// A request that reaches an upstream of a version at once.
+/// Records a request that reaches an upstream of a version at once.
 void recordArrival(TrialTable& _trials, const std::string& _version)
 {
 	recordTrialReached(_trials, kService, recordTrialChosen(_trials, kService, _version));
@@ -38,7 +38,7 @@
 	return _trials.trials.at(kService);
 }
 
-/// Answers whose heads took a multiple of the usual time, at four upstreams.
+/// Records answers from four upstreams whose time to the first token is a multiple of the usual one.
 void feed(TrialTable& _trials, const std::string& _version, uint32_t _good, uint32_t _bad,
 		  double _slowdown = 1.0, TimeUs _now = kDuration / 2, const std::string& _route = "route")
 {
@@ -52,7 +52,7 @@
 	}
 }
 
-/// The same with paces, as plain answers and streams with several events have them.
+/// The same with times per token, which plain answers and streams with several events have.
 void feedTimesPerToken(TrialTable& _trials, const std::string& _version, uint32_t _count, double _slowdown,
 					   TimeUs _now = kDuration / 2)
 {
@@ -81,7 +81,7 @@
 	return pendingStatus(_trials.trials.at(kService), _trials.exposureShare, _storeReachableSince, _now);
 }
 
-/// A good version's answers of a tenth of the trial, and the tick after them.
+/// Records the answers of a good version in one step of the trial, and advances the trial.
 void serveGoodAnswers(TrialTable& _trials, TimeUs _now)
 {
 	const bool widened = trialIn(_trials).rampStartAt != 0 && _now >= trialIn(_trials).rampStartAt;
@@ -90,7 +90,7 @@
 	advanceTrial(trialIn(_trials), _trials.exposureShare, _now);
 }
 
-/// A router on which the version is proved and everything goes to it.
+/// @returns A router that has verified the version and sends all requests to it.
 TrialTable verified()
 {
 	TrialTable table = ordered(0);
@@ -103,7 +103,7 @@
 
 TEST(VersionTrial, NoSessionMovesInTheFirstHalfAndNoneMovesBackOnAnyRouter)
 {
-	// The order reaches the routers at slightly different times, and what one tells the other late.
+	// The order reaches the routers at slightly different times, and updates between them arrive late.
 	std::vector<TrialTable> routers = {ordered(0), ordered(30 * kMsToUs)};
 	std::vector<SentTrials> sent(2);
 	std::map<uint64_t, bool> was;
@@ -133,7 +133,8 @@
 	{
 		EXPECT_TRUE(is);
 	}
-	EXPECT_LE(backwards, 5u) << "only sessions whose move falls between the two routers' clocks";
+	EXPECT_LE(backwards, 5u)
+		<< "only sessions that switch between the two routers' start times may move back";
 }
 
 TEST(VersionTrial, UpToTheDeadlineTheNewVersionGetsLessThanTheExposureBound)
@@ -161,11 +162,11 @@
 			exposed += is ? 1 : 0;
 		}
 		EXPECT_LT(double(exposed) / all, bound);
-		EXPECT_GT(double(exposed) / all, 0.5 * bound) << "enough of it to judge the version";
+		EXPECT_GT(double(exposed) / all, 0.5 * bound) << "too few requests to judge the version";
 	}
 }
 
-TEST(VersionTrial, AnUnprovedVersionNeverGetsMoreThanTheBoundHoweverLateItIs)
+TEST(VersionTrial, AnUnverifiedVersionNeverGetsMoreThanTheBoundHoweverLateItIs)
 {
 	TrialTable table = ordered(0);
 	uint32_t exposed = 0;
@@ -181,10 +182,11 @@
 	EXPECT_LE(double(exposed), kBound * all + 1.0);
 	EXPECT_EQ(trialIn(table).rampStartAt, 0);
 	const auto status = pending(table, 3 * kDuration);
-	EXPECT_TRUE(status && status->state == RolloutState::Running) << "time alone completes nothing";
+	EXPECT_TRUE(status && status->state == RolloutState::Running)
+		<< "elapsed time alone must not complete a version";
 }
 
-TEST(VersionTrial, WithoutAnUpstreamOfTheSettledVersionTheOtherStaysWithinTheBound)
+TEST(VersionTrial, WithoutAnUpstreamOfTheBaselineVersionTheOtherStaysWithinTheBound)
 {
 	TrialTable table = ordered(0);
 	uint32_t exposed = 0;
@@ -211,8 +213,9 @@
 	ASSERT_TRUE(pending(table, kDuration / 2));
 	EXPECT_EQ(pending(table, kDuration / 2)->state, RolloutState::RolledBack);
 	applyStatus(table, kService, {"v2", RolloutState::Running}, 9);
-	EXPECT_EQ(trialIn(table).state, RolloutState::RolledBack) << "another router's word does not undo it";
-	EXPECT_TRUE(pending(table, kDuration / 2)) << "the store is still to be told";
+	EXPECT_EQ(trialIn(table).state, RolloutState::RolledBack)
+		<< "a status from another router must not revert the halt";
+	EXPECT_TRUE(pending(table, kDuration / 2)) << "the halt still has to be written to the store";
 }
 
 TEST(VersionTrial, AHaltThatComesWhileAnotherStatusIsWrittenStands)
@@ -234,9 +237,10 @@
 	EXPECT_EQ(choose(table, 1, kDuration).only, "");
 }
 
-TEST(VersionTrial, AHaltThatComesAfterTheCompletionIsInTheStoreTakesNothingAway)
+TEST(VersionTrial, ACompletionInTheStoreOverridesAHaltOfThisRouter)
 {
-	// The old version's upstreams stop at the completion: without the new ones nothing would be left.
+	// The baseline version's upstreams stop at the completion: without the new ones no upstream would be
+	// left.
 	TrialTable table = ordered(0);
 	feed(table, "v1", 50, 1);
 	feed(table, "v2", 6, 6);
@@ -245,7 +249,7 @@
 	EXPECT_EQ(trialIn(table).state, RolloutState::Completed);
 	EXPECT_EQ(choose(table, 1, kDuration).only, "v2");
 	EXPECT_EQ(haltedVersion(table, kService), "");
-	EXPECT_FALSE(pending(table, kDuration)) << "nothing is written over it";
+	EXPECT_FALSE(pending(table, kDuration)) << "the completion must not be overwritten";
 	feed(table, "v2", 0, 20);
 	EXPECT_EQ(trialIn(table).state, RolloutState::Completed);
 }
@@ -290,14 +294,15 @@
 
 TEST(VersionTrial, AFewSlowAnswersOfColdUpstreamsDoNotHaltAGoodVersion)
 {
-	// Seen on a day with a good version: 8 of its first 20 answers on one route waited for others' prompts.
+	// Of a good version, 8 of the first 20 answers on one route had to wait for the prompts of other
+	// requests.
 	TrialTable table = ordered(0);
 	feed(table, "v1", 108, 0, 1.0);
 	feed(table, "v2", 12, 0, 1.0);
 	feed(table, "v2", 8, 0, 8.0);
 	EXPECT_EQ(trialIn(table).state, RolloutState::Running);
 	feed(table, "v2", 12, 0, 8.0);
-	EXPECT_EQ(trialIn(table).state, RolloutState::RolledBack) << "20 of 32 are no chance";
+	EXPECT_EQ(trialIn(table).state, RolloutState::RolledBack) << "20 slow answers of 32 are no coincidence";
 }
 
 TEST(VersionTrial, ColdPromptCachesDoNotHaltAGoodVersion)
@@ -316,7 +321,8 @@
 	feed(queued, "v1", 73, 0, 1.0);
 	feed(queued, "v2", 8, 0, 1.0);
 	feed(queued, "v2", 4, 0, 9.0);
-	EXPECT_EQ(trialIn(queued).state, RolloutState::Running) << "seen on a quiet day: queues, not the version";
+	EXPECT_EQ(trialIn(queued).state, RolloutState::Running)
+		<< "4 slow answers of 12 occur with a good version because of queues";
 	TrialTable slow = ordered(0);
 	feed(slow, "v1", 73, 0, 1.0);
 	for (int ii = 0; ii < 14; ++ii)
@@ -341,7 +347,7 @@
 	EXPECT_EQ(trialIn(table).state, RolloutState::Running);
 }
 
-TEST(VersionTrial, AVersionThatOftenStaysSilentIsHaltedCrashesOfAQuarterDoNotHalt)
+TEST(VersionTrial, AVersionThatOftenTimesOutIsHaltedCrashesOfAQuarterDoNotHalt)
 {
 	const auto timeOut = [](TrialTable& _trials, uint32_t _every) {
 		for (uint32_t ii = 0; ii < 40; ++ii)
@@ -398,7 +404,7 @@
 	EXPECT_EQ(trialIn(table).state, RolloutState::Running);
 }
 
-TEST(VersionTrial, TroubleThatBothVersionsHaveHaltsNothing)
+TEST(VersionTrial, FailuresOfBothVersionsHaltNothing)
 {
 	TrialTable table = ordered(0);
 	feed(table, "v1", 60, 30);
@@ -406,36 +412,38 @@
 	EXPECT_EQ(trialIn(table).state, RolloutState::Running);
 }
 
-TEST(VersionTrial, AGoodVersionIsCompletedByItsDeadlineAndBelievedOnlyOnceTheStoreHasIt)
+TEST(VersionTrial, AGoodVersionIsCompletedByItsDeadlineOnlyOnceTheStoreHoldsIt)
 {
 	TrialTable table = verified();
 	VersionTrial& trial = trialIn(table);
 	trial.statusRevision = 6;
-	EXPECT_FALSE(pending(table, part(0.93))) << "late enough to be sure";
+	EXPECT_FALSE(pending(table, part(0.93))) << "too early for a completion";
 	const auto status = pending(table, part(0.97));
 	ASSERT_TRUE(status);
 	EXPECT_EQ(status->state, RolloutState::Completed);
-	EXPECT_EQ(trial.state, RolloutState::Running) << "the store may not have it";
+	EXPECT_EQ(trial.state, RolloutState::Running) << "the store may not hold the completion yet";
 	feed(table, "v2", 0, 20, 1.0, part(0.97));
-	EXPECT_EQ(pending(table, part(0.97))->state, RolloutState::RolledBack) << "a halt goes first until then";
+	EXPECT_EQ(pending(table, part(0.97))->state, RolloutState::RolledBack)
+		<< "until then a halt takes precedence";
 }
 
-TEST(VersionTrial, ACompletionNeedsLateAnswersOnEachRouteAndACalmStore)
+TEST(VersionTrial, ACompletionNeedsRecentAnswersOnEachRouteAndAReachableStore)
 {
 	TrialTable table = verified();
 	trialIn(table).statusRevision = 6;
 	ASSERT_TRUE(pending(table, part(0.97)));
-	EXPECT_FALSE(pending(table, part(0.97), part(0.95))) << "others may have halted it and not be heard yet";
-	EXPECT_FALSE(pending(table, part(1.3))) << "nothing of it was seen for a while";
+	EXPECT_FALSE(pending(table, part(0.97), part(0.95)))
+		<< "a halt by another router may not have arrived yet";
+	EXPECT_FALSE(pending(table, part(1.3))) << "there are no recent answers";
 	TrialTable routes = verified();
 	trialIn(routes).statusRevision = 6;
 	feed(routes, "v1", 300, 0, 1.0, part(0.5), "other");
-	EXPECT_FALSE(pending(routes, part(0.97))) << "a route with traffic has no answers of it";
+	EXPECT_FALSE(pending(routes, part(0.97))) << "a route with traffic has no answers of the new version";
 	feed(routes, "v2", 20, 0, 1.0, part(0.97), "other");
 	EXPECT_TRUE(pending(routes, part(0.97)));
 }
 
-TEST(VersionTrial, ASlowerVersionIsNotProved)
+TEST(VersionTrial, ASlowerVersionIsNotVerified)
 {
 	TrialTable table = ordered(0);
 	for (double at = 0.55; at < 0.97; at += 0.02)
@@ -444,13 +452,13 @@
 		feedTimesPerToken(table, "v2", 1, 1.5, part(at));
 		advanceTrial(trialIn(table), table.exposureShare, part(at));
 	}
-	EXPECT_EQ(trialIn(table).state, RolloutState::Running) << "too little to halt it";
+	EXPECT_EQ(trialIn(table).state, RolloutState::Running) << "too few answers for a halt";
 	EXPECT_EQ(trialIn(table).rampStartAt, 0);
 }
 
-TEST(VersionTrial, WhatRoutersSawIsPutTogetherAndNothingCountsTwice)
+TEST(VersionTrial, EvidenceOfAllRoutersIsMergedAndNothingCountsTwice)
 {
-	// None of the four has seen enough: 2 failures of 6 each.
+	// None of the four routers has enough evidence alone: 2 failures of 6 answers each.
 	std::vector<TrialTable> routers(4, ordered(0));
 	for (uint32_t ii = 0; ii < routers.size(); ++ii)
 	{
@@ -489,17 +497,18 @@
 	EXPECT_EQ(trialIn(table).rampStartAt, 0);
 }
 
-TEST(VersionTrial, ABlankRouterGoesOnFromTheStoresProgress)
+TEST(VersionTrial, ARestartedRouterContinuesFromTheStoredProgress)
 {
 	TrialTable table = ordered(100 * kDuration);
 	VersionTrial& trial = trialIn(table);
 	applyProgress(trial, {kDuration / 2, {}}, 7, 100 * kDuration);
 	EXPECT_EQ(trial.startedAt, 100 * kDuration - kDuration / 2);
 	applyProgress(trial, {kDuration / 4, {}}, 8, 100 * kDuration);
-	EXPECT_EQ(trial.startedAt, 100 * kDuration - kDuration / 2) << "it never moves forward again";
+	EXPECT_EQ(trial.startedAt, 100 * kDuration - kDuration / 2)
+		<< "the start must never move to a later time";
 }
 
-TEST(VersionTrial, ABlankRouterHearsFromItsNeighbourHowFarATrialIs)
+TEST(VersionTrial, ARestartedRouterReceivesTheProgressFromItsNeighbour)
 {
 	TrialTable old = verified();
 	TrialTable blank = ordered(part(0.96));
@@ -520,10 +529,10 @@
 	EXPECT_EQ(trialIn(table).state, RolloutState::Running);
 }
 
-TEST(VersionTrial, ARequestThatMayNotFailAgainStaysOffTheVersionOnTrialUntilItIsSettled)
+TEST(VersionTrial, ARequestThatMayNotFailAgainStaysOffTheVersionOnTrialUntilItIsCompleted)
 {
 	TrialTable table = verified();
-	const TimeUs late = part(0.97); // Everything is offered to the new version.
+	const TimeUs late = part(0.97); // All requests are offered to the new version.
 	ASSERT_EQ(choose(table, 1, late).only, "v2");
 	EXPECT_TRUE(isOnTrial(table, kService, "v2"));
 	EXPECT_FALSE(isOnTrial(table, kService, "v1"));
@@ -533,15 +542,15 @@
 	EXPECT_EQ(choose(table, 1, late, VersionScope::BaselineOnly).only, "v2");
 }
 
-TEST(VersionTrial, AHaltThatAnotherRouterTellsIsObeyedPassedOnAndForgottenOnceItIsInTheStore)
+TEST(VersionTrial, AHaltFromAnotherRouterIsAppliedForwardedAndDroppedOnceItIsInTheStore)
 {
 	TrialTable table;
 	applyOrder(table, {kService, "v2", kDurationMs}, 7, 0);
-	EXPECT_FALSE(applyHalt(table, {kService, 6})) << "of an earlier order";
+	EXPECT_FALSE(applyHalt(table, {kService, 6})) << "the halt belongs to an earlier order";
 	EXPECT_FALSE(applyHalt(table, {"other", 7}));
 	EXPECT_TRUE(unwrittenHalts(table).empty());
 	EXPECT_TRUE(applyHalt(table, {kService, 7}));
-	EXPECT_FALSE(applyHalt(table, {kService, 7})) << "known";
+	EXPECT_FALSE(applyHalt(table, {kService, 7})) << "the halt is already known";
 	EXPECT_EQ(choose(table, 1, kDuration).excluded, "v2");
 	ASSERT_EQ(unwrittenHalts(table).size(), 1u);
 	EXPECT_EQ(unwrittenHalts(table)[0].orderRevision, 7u);
@@ -549,15 +558,15 @@
 	EXPECT_TRUE(unwrittenHalts(table).empty());
 }
 
-TEST(VersionTrial, ACompletionInTheStoreIsNotHaltedByWhatAnotherRouterTells)
+TEST(VersionTrial, ACompletionInTheStoreIsNotHaltedByAnotherRouter)
 {
 	TrialTable table;
 	applyOrder(table, {kService, "v2", kDurationMs}, 7, 0);
 	applyStatus(table, kService, {"v2", RolloutState::Completed}, 8);
-	EXPECT_FALSE(applyHalt(table, {kService, 7})) << "the old version's upstreams have stopped";
+	EXPECT_FALSE(applyHalt(table, {kService, 7})) << "the baseline version's upstreams have stopped";
 }
 
-TEST(VersionTrial, WritesThatFailComeEverMoreSeldom)
+TEST(VersionTrial, FailedWritesAreRetriedWithIncreasingDelay)
 {
 	VersionTrial trial;
 	TimeUs now = 0;
@@ -570,13 +579,14 @@
 		now = trial.writeAfter;
 	}
 	recordFailedWrite(trial, now, 1.0);
-	EXPECT_EQ(trial.writeAfter - now, last) << "a halt is written soon after the store is back";
+	EXPECT_EQ(trial.writeAfter - now, last)
+		<< "the delay is limited, so that a halt is written soon after the store returns";
 }
 
-// A version that is bad under load alone was completed: routers heard of its answers in the last second
-// before the completion at once, and of the settled version's up to 2 s later, so that it seemed to have all
-// the load.
-TEST(TrialEvidence, OfASpanWithAllRequestsTheSettledVersionsAnswersAreToldAtOnce)
+// Guards against the completion of a version that is bad only under load. In the last second before the
+// completion its answers were sent to other routers at once, the baseline's up to 2 s later, so that the
+// version seemed to have all the load.
+TEST(TrialEvidence, BaselineAnswersOfAFullTrafficIntervalAreSentAtOnce)
 {
 	EvidenceCounts baseline;
 	baseline.baseline.good = 1;
@@ -586,7 +596,8 @@
 	addEvidence(evidence, {1, 1, intervalOf(8, false)}, baseline, kNow);
 	unsentEvidence(evidence, sent, 2, kNow);
 	addEvidence(evidence, {1, 1, intervalOf(9, false)}, baseline, kNow + 1);
-	EXPECT_TRUE(unsentEvidence(evidence, sent, 2, kNow + 2).empty()) << "these can wait";
+	EXPECT_TRUE(unsentEvidence(evidence, sent, 2, kNow + 2).empty())
+		<< "baseline answers before full traffic are sent later";
 	addEvidence(evidence, {1, 1, intervalOf(9, true)}, baseline, kNow + 3);
 	EXPECT_EQ(unsentEvidence(evidence, sent, 2, kNow + 4).size(), 1u);
 }
