--- a/tests/core/exposure_bound_test.cpp
+++ b/tests/core/exposure_bound_test.cpp
@@ -232,7 +232,7 @@
 /// from 0.1 of the trial on, for sessions all of it from 0.53 on.
 constexpr double kOffered = (0.9 * 0.3 + 0.47) / 2.0;
 
-TEST(ExposureBound, OfAFleetWithoutTroubleTheNewVersionGetsWhatItsTrialOffers)
+TEST(ExposureBound, OfAFleetWithoutFaultsTheNewVersionGetsWhatItsTrialOffers)
 {
 	for (const uint32_t routers : {3u, 23u, 103u})
 	{
--- a/tests/core/trial_fleet_test.cpp
+++ b/tests/core/trial_fleet_test.cpp
@@ -54,7 +54,7 @@
 	checkBounded(FaultKind::UnderLoad, {0.5});
 }
 
-TEST(TrialFleetProperty, AGoodVersionIsCompletedOnceTheTroubleIsOver)
+TEST(TrialFleetProperty, AGoodVersionIsCompletedOnceTheFaultsAreOver)
 {
 	for (uint32_t number = 0; number < 3 * fleetCount(); ++number)
 	{
@@ -65,7 +65,7 @@
 	}
 }
 
-TEST(TrialFleetProperty, AGoodVersionIsCompletedByItsDeadlineWhereNothingHappens)
+TEST(TrialFleetProperty, AGoodVersionIsCompletedByItsDeadlineWithoutFaults)
 {
 	for (const uint32_t routers : {3u, 4u, 23u, 103u})
 	{
--- a/tests/core/trial_load_test.cpp
+++ b/tests/core/trial_load_test.cpp
@@ -13,15 +13,15 @@
 LoadProfile drawLoad(Random& _random)
 {
 	constexpr std::array<TimeUs, 4> kLengths = {kSecond, 4 * kSecond, 10 * kSecond, kDeadline};
-	const auto span = [&] {
+	const auto drawPeriod = [&] {
 		const TimeUs from = drawTime(_random);
 		return Outage{from, from + pickOne(_random, kLengths)};
 	};
 	LoadProfile load;
-	load.surge = span();
+	load.surge = drawPeriod();
 	load.surgeRate = pickOne<double, 4>(_random, {1.0, 2.0, 4.0, 8.0});
 	load.surgeSlowdown = pickOne<double, 4>(_random, {1.0, 1.5, 2.0, 3.0});
-	load.slowUpstreams = span();
+	load.slowUpstreams = drawPeriod();
 	load.slowShare = pickOne<double, 3>(_random, {0.0, 0.2, 0.5});
 	load.slowdown = pickOne<double, 3>(_random, {2.0, 3.0, 4.0});
 	load.coldFor = pickOne<TimeUs, 3>(_random, {kSecond, 3 * kSecond, 6 * kSecond});
@@ -86,7 +86,7 @@
 /// gets its first requests. @returns The resulting state.
 RolloutState stateAfterLoadRise(double _newMs)
 {
-	constexpr double kCalmMs = 15.0;
+	constexpr double kUsualMs = 15.0;
 	constexpr double kLoadedMs = 25.0;
 	constexpr TimeUs kRise = 3 * kSecond;
 	TrialTable table;
@@ -95,7 +95,7 @@
 	applyOrder(table, {kService, "v3", 5000}, 5, 0);
 	for (int ii = 0; ii < 60; ++ii)
 	{
-		answerAt(table, "v2", kCalmMs, TimeUs(ii) * 50 * kMsToUs, ii);
+		answerAt(table, "v2", kUsualMs, TimeUs(ii) * 50 * kMsToUs, ii);
 	}
 	for (int ii = 0; ii < 60; ++ii)
 	{
@@ -129,7 +129,7 @@
 /// resulting state.
 RolloutState stateAfterFullTraffic(bool _baselineAnswersOn)
 {
-	constexpr double kCalmMs = 15.0;
+	constexpr double kUsualMs = 15.0;
 	TrialTable table;
 	table.exposureShare = kBound;
 	table.writer = 1;
@@ -137,20 +137,20 @@
 	for (int ii = 0; ii < 120; ++ii)
 	{
 		const TimeUs now = TimeUs(ii) * 40 * kMsToUs;
-		answerAt(table, "v1", kCalmMs, now, ii);
+		answerAt(table, "v1", kUsualMs, now, ii);
 		if (ii % 4 == 0)
 		{
-			answerAt(table, "v2", kCalmMs, now, ii / 4);
+			answerAt(table, "v2", kUsualMs, now, ii / 4);
 		}
 	}
 	constexpr TimeUs kFullTrafficFrom = 9 * kSecond;
 	for (int ii = 0; ii < 40; ++ii)
 	{
 		const TimeUs now = kFullTrafficFrom + TimeUs(ii) * 10 * kMsToUs;
-		answerAt(table, "v2", ii % 2 == 0 ? kCalmMs : 8.0 * kCalmMs, now, ii);
+		answerAt(table, "v2", ii % 2 == 0 ? kUsualMs : 8.0 * kUsualMs, now, ii);
 		if (_baselineAnswersOn)
 		{
-			answerAt(table, "v1", kCalmMs, now, ii);
+			answerAt(table, "v1", kUsualMs, now, ii);
 		}
 	}
 	return table.trials.at(kService).state;
--- a/tests/core/version_trial_test.cpp
+++ b/tests/core/version_trial_test.cpp
@@ -511,14 +511,14 @@
 TEST(VersionTrial, ARestartedRouterReceivesTheProgressFromItsNeighbour)
 {
 	TrialTable old = verified();
-	TrialTable blank = ordered(part(0.96));
+	TrialTable restarted = ordered(part(0.96));
 	SentTrials sent;
 	const auto updates = trialUpdatesFor(old, sent, 1, part(0.97));
 	ASSERT_EQ(updates.size(), 1u);
-	applyTrialUpdate(blank, updates[0], 1, part(0.97));
-	EXPECT_EQ(trialIn(blank).startedAt, 0);
-	EXPECT_EQ(trialIn(blank).rampStartAt, trialIn(old).rampStartAt);
-	EXPECT_TRUE(isVerifiedForCompletion(trialIn(blank).evidence, intervalOf(8, false), false));
+	applyTrialUpdate(restarted, updates[0], 1, part(0.97));
+	EXPECT_EQ(trialIn(restarted).startedAt, 0);
+	EXPECT_EQ(trialIn(restarted).rampStartAt, trialIn(old).rampStartAt);
+	EXPECT_TRUE(isVerifiedForCompletion(trialIn(restarted).evidence, intervalOf(8, false), false));
 }
 
 TEST(VersionTrial, ANewOrderBeginsAnewAndAnOldStatusDoesNotCount)
