--- a/src/core/request_plan.cpp
+++ b/src/core/request_plan.cpp
@@ -201,7 +201,7 @@
 	{
 		return std::nullopt;
 	}
-	// If a started stream is given up and its next upstream aborts it, it is lost unless a further attempt is
+	// A started stream that is given up is lost if its next upstream aborts it and no further attempt is
 	// allowed.
 	const bool retriesLeft = !_plan.started || allowsRetries(_window, kMinRetriesToAbandon, _now);
 	// The last part of the window is reserved for requests that the next upstream then rejects.
@@ -250,7 +250,7 @@
 	}
 	std::set<uint32_t> excluded = _plan.failedUpstreams;
 	excluded.insert(_live.begin(), _live.end());
-	// While another attempt is running, no attempt is made at an upstream that has failed the answer.
+	// While another attempt is running, failed upstreams stay excluded: the last attempt isn't spent on them.
 	const bool onlyFailed = _live.empty() && excluded == _plan.tried;
 	_plan.tried = onlyFailed ? std::set<uint32_t>() : excluded;
 	_plan.allUpstreamsTried = true;
--- a/tests/core/event_stream_test.cpp
+++ b/tests/core/event_stream_test.cpp
@@ -49,7 +49,7 @@
 	EXPECT_FALSE(splitter.outOfOrder);
 }
 
-TEST(EventStream, ADuplicateEventStopsTheStream)
+TEST(EventStream, AnEventThatWasPassedOnAlreadyStopsTheStream)
 {
 	EventSplitter splitter;
 	splitEvents(splitter, eventText(3));
--- a/tests/core/policies_test.cpp
+++ b/tests/core/policies_test.cpp
@@ -11,7 +11,7 @@
 {
 namespace
 {
-TEST(Policies, DisablesExactlyTheNamedPolicies)
+TEST(Policies, NamedOnesAreSwitchedOffAndTheOthersStayOn)
 {
 	Policies policies;
 	disablePolicies(policies, {"escalation", "stopReturn"});
@@ -40,7 +40,7 @@
 	EXPECT_EQ(confidenceLimit(plan, 0.0, {}, 0), 0.0);
 }
 
-TEST(Policies, WithoutEjectionAFailingUpstreamStaysAvailable)
+TEST(Policies, WithoutEjectionAFailingUpstreamKeepsItsWork)
 {
 	UpstreamTable table;
 	table.policies.ejection = false;
--- a/tests/core/request_plan_test.cpp
+++ b/tests/core/request_plan_test.cpp
@@ -36,7 +36,7 @@
 	return _end != AttemptEnd::NotSent && _end != AttemptEnd::NotRun && _end != AttemptEnd::Misdirected;
 }
 
-RC_GTEST_PROP(RequestPlan, ANonRepeatableRequestRunsAtMostOnceAndIsReportedAsNotRunOnlyIfItHasNotRun, ())
+RC_GTEST_PROP(RequestPlan, ARequestThatCantBeRepeatedRunsAtMostOnceAndIsNeverCalledNotRunFalsely, ())
 {
 	RequestPlan plan = planRequest(routeOf(RouteKind::Unsafe, 3), 4000, kNow);
 	RetryWindow window = unboundedWindow();
@@ -360,7 +360,7 @@
 	EXPECT_EQ(confidenceLimit(plan, 0.0, {10.0, 0.0, 0.0, false}, kNow), 0.0) << "no upstream is available";
 }
 
-RC_GTEST_PROP(LateAnswer, EachRetryIsCountedOnceInTheWindowAndAGivenUpAttemptIsFollowedByAnother, ())
+RC_GTEST_PROP(LateAnswer, EachAttemptBeyondTheFirstIsCountedOnceInTheWindowAndAGivenUpOneIsFollowed, ())
 {
 	RequestPlan plan = startedStream(uint32_t(*rc::gen::inRange(1, 5)));
 	plan.started = *rc::gen::arbitrary<bool>();
--- a/tests/core/router_core_test.cpp
+++ b/tests/core/router_core_test.cpp
@@ -121,7 +121,7 @@
 	EXPECT_EQ(std::get<RefuseRequest>(fixture.actions[1]).refusal.run, RunState::Unknown);
 }
 
-TEST(RouterCore, IncompleteAnswerIsRetriedElsewhere)
+TEST(RouterCore, ShortAnswerIsTriedElsewhereNotDelivered)
 {
 	Fixture fixture;
 	const SendSubmit sent = fixture.sendRequest("small");
