--- a/include/spanplank/request_plan.h
+++ b/include/spanplank/request_plan.h
@@ -94,7 +94,7 @@
 								TimeUs _now);
 
 /// Confidence below which an answer is dropped and the next model requested while engines are idle, in
-/// points. Compared with 50, 70 and 85 at low load, see docs/design/platform.md.
+/// points; see docs/design/platform.md.
 constexpr double kMaxConfidenceLimit = 60.0;
 
 /// @returns Maximum expected time to first token of an upstream that is likely to meet the latency objective,
--- a/src/core/peer_tree.cpp
+++ b/src/core/peer_tree.cpp
@@ -9,9 +9,7 @@
 namespace
 {
 /// Followers per core. A follower costs about 0.0005 cores without sockets (`bench/peer_pings.cpp`) and at
-/// most twice that with them, so that all of them together take a twentieth of the core. Without this limit,
-/// and with complete load tables in each ping, a quiet day of 103 routers on boxes of 0.09 to 0.5 cores
-/// scored 0.730; with the limit and with changed loads only it scored 0.785 (one run each).
+/// most twice that with them, so that all of them together take a twentieth of the core.
 constexpr double kFollowersPerCore = 50.0;
 /// Followers per Mbit/s of the link. A follower takes 25 kB/s for loads and homes (`bench/peer_pings.cpp`),
 /// so that all of them together take a fifth of the link.
--- a/src/core/prompt_choice.cpp
+++ b/src/core/prompt_choice.cpp
@@ -10,9 +10,7 @@
 {
 constexpr double kJitterMs = 0.1; ///< Randomizes the choice between equal upstreams.
 /// Cost of sending a prompt to another hall, as waiting time, since traffic between halls is priced. It
-/// equals about one prefill of an average shared part by the smallest model. In a deployment with expensive
-/// traffic 20 ms score 0.670 on days with faults and 0.786 on quiet days, 500 ms score 0.683 and 0.803 (mean
-/// of 20 and 4 runs).
+/// equals about one prefill of an average shared part by the smallest model.
 constexpr double kOtherHallMs = 500.0;
 /// Other routers send to the same homes. Without their reports this router's own queued work is multiplied by
 /// this factor to account for theirs.
@@ -21,20 +19,16 @@
 constexpr double kStreamMs = 0.3;
 /// The same for each stream of this router if the streams of the others are unknown.
 constexpr double kDecodeMs = 1.5;
-/// Weight of a prompt's prefill time in its cost, since it also delays the prompts behind it. In a deployment
-/// with expensive second runs, days with faults score 0.712 at 4 and 0.714 at 8, and the worst class 0.801
-/// and 0.813 (two runs of each, with an estimate of the time per token that follows idle engines). The value
-/// 2 was compared as well.
+/// Weight of a prompt's prefill time in its cost, since it also delays the prompts behind it.
 constexpr double kPrefillWeight = 8.0;
 constexpr double kMinPrefillMs = 0.1;       ///< Per prompt; keeps the time per token above 0.
 constexpr double kInitialMsPerToken = 0.02; ///< Prefill time per token before the first sample.
 constexpr uint32_t kMinSampleTokens = 1000; ///< Shorter prompts give inaccurate estimates.
 /// Weight of a sample above or below the estimate. The estimate follows the fastest answers, since all others
 /// include time in the queue. With 0.05 and 0.15, and without `kFixedFirstTokenMs`, the estimate for the
-/// smallest model was 0.04 ms on a quiet and 0.15 ms on a busy day, while an idle engine takes 0.005 ms.
-/// Prompts then queued for an engine that had their parts cached for longer than another prefill takes, to
-/// avoid waits that did not exist. In a deployment with expensive second runs days with faults score 0.699
-/// with those values and 0.705 with these, a quiet day 0.821 and 0.823 (two runs of each).
+/// smallest model is 0.04 ms under low and 0.15 ms under high load, while an idle engine takes 0.005 ms.
+/// Prompts then queue for an engine that has their parts cached for longer than another prefill takes, to
+/// avoid waits that do not exist.
 constexpr double kMsPerTokenRise = 0.01;
 constexpr double kMsPerTokenFall = 0.3;
 /// Part of a time to first token that does not depend on the prompt: network and decoding steps.
--- a/src/core/request_plan.cpp
+++ b/src/core/request_plan.cpp
@@ -12,28 +12,23 @@
 constexpr uint32_t kConnectTimeoutMs = 300; ///< A healthy upstream in a nearby hall accepts within a few ms.
 /// Timeout for the first event of a repeatable stream, as a share of the latency objective. A prompt whose
 /// attempt times out is processed twice, which delays others on busy engines: with 0.4 and a
-/// `kExpectedTimeFactor` of 3, 15 of 100 attempts timed out in the first seconds after a hall was evacuated,
-/// in a deployment with expensive second runs. Its mean score over two runs was 0.707 on days with failures
-/// and 0.825 on a day without; with 0.75 and 6 it is 0.712 and 0.829.
+/// `kExpectedTimeFactor` of 3, 15 of 100 attempts time out in the first seconds after a hall is evacuated.
 constexpr double kStreamStartShare = 0.75;
 /// Timeout for the head of a repeatable plain answer, as a share of the latency objective.
 constexpr double kPlainStartShare = 0.6;
 /// Maximum timeout for an answer that is expected late, as a share of the latency objective. A prompt whose
-/// attempt times out is processed again elsewhere while others wait: at 0.75 the mean score of a deployment
-/// with long prompts on days with failures is 0.585, at 2.0 it is 0.623 (20 runs each).
+/// attempt times out is processed again elsewhere while others wait.
 constexpr double kMaxStartShare = 2.0;
 constexpr double kExpectedTimeFactor = 6.0; ///< Timeout as a multiple of the expected time to first token.
 /// Replaces `kMaxStartShare` if the policy `longPatience` is disabled.
 constexpr double kReducedMaxStartShare = 0.75;
 /// Timeout as a multiple of the time to first token without a cached prefix, as the upstream may have evicted
-/// it. Without this lower bound the mean score of a deployment with long prompts on days with failures is
-/// 0.623 instead of 0.639 (20 runs each).
+/// it. Without this lower bound, an attempt times out while the upstream still processes the prompt.
 constexpr double kUncachedTimeFactor = 1.5;
 /// Timeout between events, as a share of the longest pause that is still on time.
 constexpr double kEventGapShare = 0.8;
 /// Replaces `kEventGapShare` if only one attempt is left after the current one. Upstreams often pause and
-/// then continue, and a stream whose last attempt fails is aborted: with `kEventGapShare` here, streams were
-/// aborted in 4 of 20 soak runs of 20 s.
+/// then continue, and a stream whose last attempt fails is aborted.
 constexpr double kFinalEventGapShare = 2.0;
 /// Above this used share of the retry window only failures are retried, and no larger model is requested.
 constexpr double kMaxUsedShareForEscalation = 0.9;
@@ -49,21 +44,19 @@
 /// Share of the latency objective that must be left for a second model.
 constexpr double kMinEscalationTimeShare = 0.15;
 /// Maximum waiting time, as a share of the latency objective, at which an engine counts as idle: a late
-/// second answer then improves the result more than it delays other requests. Compared with 0.1.
+/// second answer then improves the result more than it delays other requests.
 constexpr double kMaxIdleWaitShare = 0.5;
 /// Points by which the confidence limit falls when the time to first token takes the whole latency objective.
-/// A second run delays all requests that wait at busy engines: with a constant limit of 60 the mean score of
-/// a deployment with long prompts on days with failures is 0.646, with this weight it is 0.67 (20 runs each).
-/// Compared with 100 and 200.
+/// A second run delays all requests that wait at busy engines.
 constexpr double kPressureWeight = 130.0;
 /// Answers of lower confidence are poor enough to request the next model even under load.
 constexpr double kMinConfidenceLimit = 20.0;
-/// Weight of the newest sample, so that about 10 samples count. Compared with 0.05.
+/// Weight of the newest sample, so that about 10 samples count.
 constexpr double kPressureSmoothing = 0.1;
 /// Maximum time to first token of a late answer, as a share of the time left.
 constexpr double kMaxLateStartShare = 0.5;
 /// Share of the time left to the objective that an expected time may take, as estimates are too low under
-/// failures. Compared with 0.4.
+/// failures.
 constexpr double kFirstTokenBudgetShare = 0.75;
 /// Retry-After of most refusals: full upstreams accept requests again soon.
 constexpr uint32_t kRetryAfterMs = 150;
