--- a/src/core/cold_upstreams.cpp
+++ b/src/core/cold_upstreams.cpp
@@ -19,7 +19,7 @@
 };
 
 /// Chooses the number of owners with the highest total rate. The bound must hold even if `owners` + 1 routers
-/// consider themselves owners and each sends one request more than its rate in some second.
+/// act as owners and each sends one request more than its rate in some second.
 OwnerPlan planOwners(const ColdService& _service, const ColdBounds& _bounds, size_t _routers)
 {
 	const double bound = _service.perSecond * _bounds.overshoot + _bounds.slack;
--- a/src/core/crash_suspects.cpp
+++ b/src/core/crash_suspects.cpp
@@ -11,10 +11,11 @@
 {
 /// A request is refused once the probability that its crashes are a coincidence is below this.
 constexpr double kRefusalChance = 2e-4;
-/// The same while many upstreams end without it: some of many running requests are then hit several times.
+/// The same while many upstreams end that are not running it: by coincidence, some of many running requests
+/// are then affected several times.
 constexpr double kStormRefusalChance = 1e-6;
-/// Other crashes in the `kCrashRateWindow` around one of its crashes from which `kStormRefusalChance`
-/// applies.
+/// Minimum number of other crashes in the `kCrashRateWindow` around one of the request's crashes at which
+/// `kStormRefusalChance` applies.
 constexpr size_t kStormCrashes = 3;
 /// Minimum probability of one coincidental crash: three of these are below `kRefusalChance`, two are not.
 constexpr double kMinChance = 0.02;
@@ -258,8 +259,8 @@
 double chanceOf(const SuspectTable& _suspects, const RequestDigest& _digest, const CrashSuspect& _suspect)
 {
 	double chance = 1.0;
-	double ofCause = 1.0;                 // Of crashes with one cause the most likely one counts.
-	const ObservedCrash* first = nullptr; // Of the crashes with one cause.
+	double ofCause = 1.0;                 // Highest probability among the crashes with one cause.
+	const ObservedCrash* first = nullptr; // The first of these crashes.
 	for (const ObservedCrash& crash : _suspect.crashes)
 	{
 		if (isExplained(_suspects, crash.upstream, _digest, _suspect))
--- a/src/core/peer_follow.cpp
+++ b/src/core/peer_follow.cpp
@@ -15,8 +15,9 @@
 constexpr TimeUs kAnswerTimeoutUs = 800 * kMsToUs;
 /// Failed own calls in a row from which the store counts as unreachable: a single one may be lost.
 constexpr uint32_t kMinStoreFailures = 2;
-/// Time without a confirmation from which a follower of the root searches for another parent; four times as
-/// much for each further level: the routers above search first, and then confirm to all their followers.
+/// Time without a confirmation after which a follower of the root searches for another parent. Each further
+/// level waits four times as long, so that the routers above search first and then confirm to all their
+/// followers.
 constexpr TimeUs kConfirmationTimeoutUs = 1000 * kMsToUs;
 constexpr uint32_t kMaxTimeoutLevels = 3;
 /// Time after a failed own call in which the store may have been unreachable for all routers, so that the
--- a/src/core/prompt_choice.cpp
+++ b/src/core/prompt_choice.cpp
@@ -188,7 +188,7 @@
 	return _before == 0 || _now - _before > kResendAfter;
 }
 
-/// Records that an upstream reads a shared part of a prompt now.
+/// Records that an upstream processes a shared part of a prompt now.
 /// @returns When this router recorded that home before; 0 if never.
 TimeUs recordHome(UpstreamTable& _table, uint64_t _part, uint32_t _upstream, TimeUs _now)
 {
--- a/src/core/request_plan.cpp
+++ b/src/core/request_plan.cpp
@@ -23,7 +23,7 @@
 /// Replaces `kMaxStartShare` if the policy `longPatience` is disabled.
 constexpr double kReducedMaxStartShare = 0.75;
 /// Timeout as a multiple of the time to first token without a cached prefix, as the upstream may have evicted
-/// it. Without this lower bound, an attempt times out while the upstream still processes the prompt.
+/// it.
 constexpr double kUncachedTimeFactor = 1.5;
 /// Timeout between events, as a share of the longest pause that is still on time.
 constexpr double kEventGapShare = 0.8;
@@ -146,7 +146,7 @@
 
 size_t nextModel(const RequestPlan& _plan)
 {
-	return _plan.models.empty() ? 0 : _plan.models.size() - 1; // Models in between gave lower scores.
+	return _plan.models.empty() ? 0 : _plan.models.size() - 1; // Last model; skips those in between.
 }
 
 bool isLastModel(const RequestPlan& _plan)
--- a/src/core/router_core.cpp
+++ b/src/core/router_core.cpp
@@ -395,8 +395,8 @@
 	return _request.upstream;
 }
 
-/// Abandons the current attempt, if there is one: it may have run. Run-once work isn't cancelled, agents end
-/// it themselves.
+/// Abandons the current attempt, if there is one: it may have run. Run-once work isn't cancelled here, as
+/// agents end it themselves.
 void abandonAttempt(RouterCore& _core, RequestState& _request, RouterActions& _actions)
 {
 	if (_request.attempt == UINT64_MAX)
--- a/src/core/run_once.cpp
+++ b/src/core/run_once.cpp
@@ -645,8 +645,8 @@
 }
 
 /// @returns Whether a member may be removed from the table. Unreachable members may still run and grant each
-/// other calls, unaware of the removal. A remaining member that has pulled all records refuses those calls;
-/// without one, a removal is safe only if the removed member has certainly terminated.
+/// other calls, as they haven't received the removal. A remaining member that has pulled all records refuses
+/// those calls; without one, a removal is safe only if the removed member has certainly terminated.
 bool mayRemove(const HomeTable& _table, size_t _at, const ProposalInput& _input,
 			   absl::Span<const MemberStatus> _statuses)
 {
--- a/src/core/trial_schedule.cpp
+++ b/src/core/trial_schedule.cpp
@@ -8,14 +8,15 @@
 namespace
 {
 // Parts of a roll-out's duration.
-/// The new version gets its first requests; its upstreams have started by then.
+/// Part after which the new version gets its first requests; its upstreams have started by then.
 constexpr double kTrialStartPart = 0.1;
-/// The new version gets its first sessions, which stay on the baseline version for the first half.
+/// Part after which the new version gets its first sessions; all sessions stay on the baseline version for
+/// the first half.
 constexpr double kSessionStartPart = 0.53;
 
 // Parts of the exposure bound.
-/// Share of requests that an unverified version gets until the ramp is due: for sessions, which only have the
-/// second half of the trial, and for requests without a session. Afterwards it gets the whole bound.
+/// Share of the bound that an unverified version gets until the ramp is due: for sessions, which only have
+/// the second half of the trial, and for requests without a session. Afterwards it gets the whole bound.
 constexpr double kSessionBoundShare = 1.0;
 constexpr double kSingleBoundShare = 0.3;
 /// Length of the ramp of a verified version to all requests, as a part of the bound times the duration.
@@ -104,9 +105,10 @@
 	return minShare + (1.0 - minShare) * rampProgress(_trial, _exposureShare, _now);
 }
 
-/// Each router enforces the bound by its own count, so that their sum keeps it whatever each of them knows of
-/// the evidence or of the others. After the deadline a verified version may get more: routers that started
-/// late could otherwise never complete it, since that needs a while with all requests.
+/// Each router enforces the bound by its own count, so that the sum of all routers stays within it, whatever
+/// evidence and whatever state of the others each has received. After the deadline a verified version may get
+/// more: routers that started late could otherwise never complete it, since that needs a while with all
+/// requests.
 bool mayExpose(const VersionTrial& _trial, double _exposureShare, ExposureKind _kind, TimeUs _now)
 {
 	const bool overdue = _trial.rampStartAt != 0 && elapsedPart(_trial, _now) >= kUnboundedFromPart;
@@ -118,8 +120,8 @@
 	}
 	// Random variation alone takes a router with few requests above its share, and a session that the
 	// schedule has drawn must not switch back and forth between versions at its routers. The schedule draws
-	// no more than the share of the requests that arrive, so the sum keeps the bound as long as these reach
-	// the service.
+	// no more than the share of the requests that arrive, so the sum stays within the bound as long as these
+	// reach the service.
 	const double maxExposed = std::min(share + kMaxSessionExcess, double(_trial.reached));
 	return _kind == ExposureKind::Session && double(_trial.exposed + 1) <= maxExposed;
 }
--- a/src/core/trial_verdict.cpp
+++ b/src/core/trial_verdict.cpp
@@ -32,14 +32,14 @@
 constexpr double kRecentThreshold = -1.0;
 
 constexpr double kBadExcess = 0.15; ///< Excess of a bad version's failure rate over the baseline's.
-/// Excess over the baseline's share of timeouts that is still good: of the few answers of a good version,
-/// crashes and queues suppress up to a quarter.
+/// Excess over the baseline's share of timeouts that is still good: crashes and queues suppress up to a
+/// quarter of a good version's few answers.
 constexpr double kTimeoutMargin = 0.1;
-constexpr double kTimeoutExcess = 0.3;    ///< Further excess that is bad.
-constexpr double kMaxGoodTimeouts = 0.9;  ///< Upper limit of a good version's share.
-constexpr double kMaxBadTimeouts = 0.95;  ///< Upper limit of a bad version's share.
-constexpr double kMaxIntervalShare = 0.8; ///< Upper limit of the baseline's share in one interval.
-constexpr double kPriorBad = 1.0;         ///< Failures in the prior of a share.
+constexpr double kTimeoutExcess = 0.3;    ///< Excess of a bad version's share of timeouts over a good one's.
+constexpr double kMaxGoodTimeouts = 0.9;  ///< Upper limit of a good version's share of timeouts.
+constexpr double kMaxBadTimeouts = 0.95;  ///< Upper limit of a bad version's share of timeouts.
+constexpr double kMaxIntervalShare = 0.8; ///< Upper limit of the baseline's share of hits in one interval.
+constexpr double kPriorBad = 1.0;         ///< Hits in the prior of a share.
 constexpr double kPriorAll = 20.0;        ///< Answers in the prior of a share.
 /// Weight, in answers, of the baseline's share in the whole trial relative to its share in one interval.
 constexpr double kWholeTrialWeight = 10.0;
@@ -85,14 +85,14 @@
 	double all = 0.0;
 };
 
-/// @returns A share with a prior, clamped to a range with finite scores.
+/// @returns The share of hits with a prior, clamped to a range with finite scores.
 double usualShare(const Hits& _sample)
 {
 	return std::clamp((_sample.hits + kPriorBad) / (_sample.all + kPriorAll), kMinUsualShare, kMaxUsualShare);
 }
 
-/// @returns The baseline's share in one interval, so that a problem that affects both versions then is not
-/// held against one of them.
+/// @returns The baseline's share of hits in one interval, so that a problem that affects both versions then
+/// doesn't count against one of them.
 /// @param[in] _current Baseline answers of the interval. @param[in] _overall Those of the whole trial.
 double usualShare(const Hits& _current, const Hits& _overall)
 {
@@ -126,7 +126,7 @@
 }
 
 /// @returns The share of the baseline's answers that are quick in one interval, relative to the share by
-/// definition. Hardly any are quick while the load rises, of a good candidate just as few.
+/// definition. While the load rises, hardly any are quick, and just as few answers of a good candidate.
 double quickPart(const TimeCounts& _baseline)
 {
 	const double share =
@@ -291,7 +291,7 @@
 }
 
 /// Without baseline answers times can't be compared. The time to the first token is used only if there are no
-/// times per token, because caches that are cold for both versions make it alike.
+/// times per token, because caches that are cold for both versions make it similar.
 bool isQuickEnough(const EvidenceCounts& _all, double _level)
 {
 	const bool hasPerToken = _all.candidateTimes[size_t(TimeKind::PerToken)].timed > 0;
@@ -328,8 +328,8 @@
 };
 constexpr VerificationLevel kLevelToRamp = {-2.5, -0.5, -2.0, 0.0};
 constexpr VerificationLevel kLevelInTime = {-5.0, -2.0, -4.0, -1.0};
-/// Stricter after the deadline, when nothing is gained by haste and the cause of the delay may have hidden
-/// failures.
+/// Stricter after the deadline: an early decision has no benefit then, and the cause of the delay may have
+/// hidden failures.
 constexpr VerificationLevel kLevelOverdue = {-6.0, -3.0, -4.0, -5.0};
 
 bool reachesLevel(const TrialEvidence& _evidence, const VerificationLevel& _level)
--- a/src/core/version_trial.cpp
+++ b/src/core/version_trial.cpp
@@ -11,9 +11,10 @@
 {
 namespace
 {
-/// Part of the duration from which a version may be completed. Late, because a version that is bad only under
-/// load or only later can't be distinguished from a good one before, and stays within the exposure bound
-/// until then. Before the deadline by 0.6 s in a trial of 16 s, which is the uncertainty of the order's time.
+/// Part of the duration from which a version may be completed. It is late because a version that is bad only
+/// under load or only later can't be distinguished from a good one before, and stays within the exposure
+/// bound until then. In a trial of 16 s it is 0.6 s before the deadline, which is the uncertainty of the
+/// order's time.
 constexpr double kMinCompletionPart = 0.96;
 /// Delay between the verification and the ramp. All routers have received the verification by then, so that
 /// no session switches back and forth between versions.
